--- a/benchmarks/emulated.py
+++ b/benchmarks/emulated.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import QUIET_INTENSITY, Task, Worker
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 
@@ -89,7 +89,7 @@
 
 
 def add_worker(
-    book: Book,
+    cluster: ClusterState,
     name: str,
     capacity: Room,
     zone: str = 'z0',
@@ -106,6 +106,6 @@
         capacity,
         labels,
     )
-    worker = book.meet(entry)
+    worker = cluster.register_worker(entry)
     worker.reached = worker.reachable = True
     return worker
--- a/benchmarks/emulation.py
+++ b/benchmarks/emulation.py
@@ -20,7 +20,7 @@
     add_worker,
 )
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import (
     BUSY_USAGE,
     QUIET_USAGE,
@@ -58,9 +58,9 @@
     def __init__(self, load: Load, seed: int):
         self.load = load
         self.random = random.Random(seed)
-        self.book = Book()
+        self.cluster = ClusterState()
         self.sharing = Sharing()
-        self.placer = Placer(self.book, self.sharing)
+        self.placer = Placer(self.cluster, self.sharing)
         self.pacer = Pacer(self.sharing)
         self.now = 0.0
         self.running: dict[str, dict[Task, Running]] = {}
@@ -92,7 +92,7 @@
     def use_policy(self, sharing: Sharing, pacer: Pacer) -> None:
         """Plays another policy, to compare with."""
         self.sharing = sharing
-        self.placer = Placer(self.book, sharing)
+        self.placer = Placer(self.cluster, sharing)
         self.pacer = pacer
 
     # Hosts and jobs.
@@ -101,7 +101,7 @@
         for number in range(self.load.workers):
             scale = 1.5 if number % 3 == 2 else 1.0
             worker = add_worker(
-                self.book,
+                self.cluster,
                 f'w{number}',
                 Room(self.load.cores * scale, int(128_000 * scale)),
                 f'z{number % 4}',
@@ -120,7 +120,7 @@
             target_seconds=1.0 if steps[0].fills else 0.25,
         )
         spec = JobSpec(f'{len(self.jobs):016x}', '', steps, policy, self.now)
-        self.jobs.append(self.book.admit(spec, self.now, self.now))
+        self.jobs.append(self.cluster.admit(spec, self.now, self.now))
 
     def _admit_serving(self) -> None:
         draw = self.random
@@ -174,12 +174,12 @@
             if self.now < self.load.seconds:
                 self._arrive()
             self._advance()
-            for worker in list(self.book.workers.values()):
+            for worker in list(self.cluster.workers.values()):
                 if self.ends[worker.id]:
                     self._look(worker)
             if self.now >= next_look:
                 next_look = self.now + LOOK_SECONDS
-                for worker in list(self.book.workers.values()):
+                for worker in list(self.cluster.workers.values()):
                     self._look(worker)
                 self._check_known()
             self._move_halted()
@@ -198,7 +198,7 @@
 
     def _place(self) -> None:
         for task, worker in self.placer.place(self.now, lambda *_: True):
-            self.book.confirm(task, task.run, self.now)
+            self.cluster.confirm_start(task, task.run, self.now)
             seconds = task.spec.estimated_seconds
             left = self.random.expovariate(1 / LASTING_SECONDS)
             if not task.spec.lasting:
@@ -219,7 +219,7 @@
             if found is not None:
                 found.percent = percent
             self._paces.remove((at, task, percent))
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             self._advance_worker(worker)
 
     def _advance_worker(self, worker: Worker) -> None:
@@ -302,7 +302,9 @@
         ended = tuple(self.ends[worker.id])
         self.ends[worker.id] = []
         look = Look(1, 0, rows, ended)
-        news = Reconciler(self.book).take_look(worker, look, self.now, self.now)
+        news = Reconciler(self.cluster).take_look(
+            worker, look, self.now, self.now
+        )
         for task, _ in news.ended:
             self.sharing.forget(task)
             self._halted.pop(task, None)
@@ -337,7 +339,7 @@
             del self._halted[task]
             running = self.running.get(task.worker, {}).get(task)
             if running is not None and task.phase is TaskPhase.RUNNING:
-                self.book.begin_stop(task)
+                self.cluster.begin_stop(task)
                 running.stop_at = self.now + STOP_SECONDS
                 self.outcome.moves += 1
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -17,7 +17,7 @@
 from benchmarks.emulated import LASTING_SECONDS, STEP_SECONDS, add_worker
 from benchmarks.report import Report
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Job, JobState, Task, Worker
 from lentilmount.scheduling.placing import Placer
 from lentilmount.scheduling.reports import EndKind
@@ -104,13 +104,13 @@
         # Failures depend on what is placed; arrivals must not depend on them.
         self._random = random.Random(seed)
         self._failures = random.Random(seed)
-        self._book = Book()
-        self._placer = Placer(self._book, Sharing())
+        self._cluster = ClusterState()
+        self._placer = Placer(self._cluster, Sharing())
         self._left: dict[Task, float] = {}
         self._jobs: list[Job] = []
         self._now = 0.0
         for number in range(load.workers):
-            add_worker(self._book, f'w-{number}', Room(load.cores, 64_000))
+            add_worker(self._cluster, f'w-{number}', Room(load.cores, 64_000))
         for _ in range(load.lasting_jobs):
             self._admit(LASTING, self._draw_lasting())
 
@@ -122,7 +122,7 @@
             self._now = step * STEP_SECONDS
             if step == steps // 3:
                 for number in range(load.count_leaving()):
-                    self._lose(self._book.workers[f'w-{number}'])
+                    self._lose(self._cluster.workers[f'w-{number}'])
             self._draw_arrivals()
             self._work()
             for task, _ in self._placer.place(self._now, lambda *_: True):
@@ -182,7 +182,7 @@
 
     def _lose(self, worker: Worker) -> None:
         worker.present = False
-        for task in self._book.lapse(worker, self._now):
+        for task in self._cluster.end_worker_tasks(worker, self._now):
             self._left.pop(task, None)
 
     def _draw_arrivals(self) -> None:
@@ -220,18 +220,18 @@
 
     def _admit(self, policy: QueuePolicy, steps: tuple[StepSpec, ...]) -> None:
         spec = JobSpec(f'{policy.name}-{len(self._jobs)}', '', steps, policy)
-        job = self._book.admit(spec, self._now, 0.0)
+        job = self._cluster.admit(spec, self._now, 0.0)
         job.accepted_at = self._now
         self._jobs.append(job)
 
     def _begin(self, task: Task) -> None:
-        self._book.confirm(task, task.run, self._now)
+        self._cluster.confirm_start(task, task.run, self._now)
         self._left[task] = task.spec.estimated_seconds
         if task.spec.lasting:
             self._left[task] = self._failures.expovariate(1 / LASTING_SECONDS)
 
     def _work(self) -> None:
-        for worker in self._book.workers.values():
+        for worker in self._cluster.workers.values():
             if not worker.present:
                 continue
             speed = _measure_speed(worker)
@@ -246,7 +246,7 @@
             self.earned[LASTING.name].credit += share
         if self._left[task] <= 0:
             kind = EndKind.FAILED if lasts else EndKind.DONE
-            self._book.end(task, kind, self._now)
+            self._cluster.end_run(task, kind, self._now)
 
     def _is_counted(self, job: Job) -> bool:
         """Whether all of what a job may earn falls into the time played."""
--- a/lentilmount/control/advice.py
+++ b/lentilmount/control/advice.py
@@ -14,7 +14,7 @@
 import logbook
 
 from lentilmount.platform.advice import AdviceCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.ranking import sort_steps
 from lentilmount.scheduling.views import get_step, is_open
@@ -56,13 +56,13 @@
     """Keeps tickets for the steps that need them.
 
     Attributes:
-      book: Where the tasks are.
+      cluster: Where the tasks are.
       calls: Asks the service; None where there is none.
       monotonic: The clock for durations.
       wake: Called when there are new tickets.
     """
 
-    book: Book
+    cluster: ClusterState
     calls: AdviceCalls | None
     monotonic: Callable[[], float]
     wake: Callable[[], None]
@@ -98,7 +98,7 @@
         now = self.monotonic()
         advised = [
             task
-            for task in self.book.ready.values()
+            for task in self.cluster.ready.values()
             if task.job.spec.queue.advised
         ]
         for step in sort_steps(advised, now):
@@ -109,7 +109,7 @@
     def _has_ticket(self, task: Task) -> bool:
         return any(
             worker.fits(task.spec.reserved) and self.get_ticket(task, worker)
-            for worker in self.book.workers.values()
+            for worker in self.cluster.workers.values()
         )
 
     def _list_candidates(self, task: Task) -> list[Worker]:
@@ -117,7 +117,7 @@
         now = self.monotonic()
         able = [
             worker
-            for worker in self.book.workers.values()
+            for worker in self.cluster.workers.values()
             if is_open(worker, now)
             and worker.id not in known.barred
             and worker.fits(task.spec.reserved)
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -29,7 +29,7 @@
     UnavailableError,
 )
 from lentilmount.coordination.transactions import make_token
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import Job, Task, TaskPhase
 from lentilmount.scheduling.rows import encode_state
@@ -96,7 +96,7 @@
       table: Where the rows are.
       keeper: Renews the lease with each write.
       lease: The lease.
-      book: What is written.
+      cluster: What is written.
       sharing: What was learned of interference.
       links: Links, told which ends are written.
       clock: The clocks.
@@ -111,7 +111,7 @@
     table: Table
     keeper: LeaseKeeper
     lease: Lease
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
     links: dict[str, Link]
     clock: Clock
@@ -156,7 +156,7 @@
         placed = [*self._in_write, *self._unsent]
         self._in_write, self._unsent = [], []
         self._has_sent_unwritten |= bool(placed)
-        self._send_starts(placed, set(self.book.jobs.values()))
+        self._send_starts(placed, set(self.cluster.jobs.values()))
 
     def _send_starts(self, placed: list[Task], written: set[Job]) -> None:
         """Sends the starts of jobs that were written; the others wait.
@@ -211,7 +211,7 @@
         ]
         jobs = self._take_dirty()
         self._in_write, self._unsent = self._unsent, []
-        mark = _Mark(received, set(self.book.dirty))
+        mark = _Mark(received, set(self.cluster.dirty))
         counts = self._make_counts(jobs)
         model = self._make_model()
         states = [self._make_state(job) for job in jobs]
@@ -224,7 +224,7 @@
         if not is_written:
             self._unsent += placed
             return
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             worker.is_told_silent = worker.id in silent
         self.retention.forget(old)
         self.forget(old)
@@ -236,7 +236,7 @@
             self._model_version = self.lease.version
         self._tell_ended(jobs)
         self._send_starts(placed, set(jobs))
-        if self.book.dirty:
+        if self.cluster.dirty:
             self._dirty.set()
         else:
             self._has_sent_unwritten = False
@@ -271,9 +271,9 @@
         """
         is_unwritten = self._has_sent_unwritten and leaves_some
         now = self.clock.monotonic()
-        data = describe(self.book, self.inheritance, is_unwritten, now)
+        data = describe(self.cluster, self.inheritance, is_unwritten, now)
         for worker_id in data.remaining:
-            self.book.workers[worker_id].is_told_silent = True
+            self.cluster.workers[worker_id].is_told_silent = True
         self.lease.data = data.encode(self.lease.epoch)
         return data.remaining
 
@@ -307,7 +307,7 @@
                 log.error('A row of ours was changed: {}', error)
                 await self.read_versions(jobs)
                 for job in jobs:
-                    self.book.dirty[job.spec.id] = None
+                    self.cluster.dirty[job.spec.id] = None
                 self._dirty.set()
                 return False
             except UnavailableError as error:
@@ -322,11 +322,13 @@
         """Takes the jobs to be written, those with waiting starts first."""
         starts = dict.fromkeys(task.id.job for task in self._unsent)
         first = list(starts)[: COMMIT_ROWS - OLDEST_ROWS]
-        oldest = [job_id for job_id in self.book.dirty if job_id not in starts]
+        oldest = [
+            job_id for job_id in self.cluster.dirty if job_id not in starts
+        ]
         chosen = [*first, *oldest, *list(starts)[len(first) :]][:COMMIT_ROWS]
         for job_id in chosen:
-            self.book.dirty.pop(job_id, None)
-        return [self.book.jobs[job_id] for job_id in chosen]
+            self.cluster.dirty.pop(job_id, None)
+        return [self.cluster.jobs[job_id] for job_id in chosen]
 
     def _make_counts(self, jobs: list[Job]) -> list[Operation]:
         """Counts the waiting jobs, if they were not just counted.
@@ -339,7 +341,7 @@
         if now - self._counts_at < COUNTS_SECONDS and not has_ended:
             return []
         self._counts_at = now
-        counts = self.book.count_pending()
+        counts = self.cluster.count_pending()
         if counts == self._counts and self._counts_version:
             return []
         self._counts = counts
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatch.py
@@ -12,7 +12,7 @@
 from lentilmount.control.commits import Commits
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.coordination.leases import Lease
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import Job, Task, Worker
 from lentilmount.scheduling.placing import Placer
@@ -54,7 +54,7 @@
     """Places the tasks of one owner.
 
     Attributes:
-      book: What it knows.
+      cluster: What it knows.
       placer: Chooses workers.
       commits: Writes what was placed, and has it sent.
       advice: Knows which workers may run advised steps.
@@ -67,7 +67,7 @@
       stop: Stops a task, for a reason; it is placed again.
     """
 
-    book: Book
+    cluster: ClusterState
     placer: Placer
     commits: Commits
     advice: Advice
@@ -103,7 +103,7 @@
         """
         end = self.monotonic() + FIRST_LOOK_SECONDS
         while self.monotonic() < end:
-            present = [w for w in self.book.workers.values() if w.present]
+            present = [w for w in self.cluster.workers.values() if w.present]
             if present and all(w.reached for w in present):
                 return
             await asyncio.sleep(FIRST_LOOK_PAUSE_SECONDS)
--- a/lentilmount/control/gauges.py
+++ b/lentilmount/control/gauges.py
@@ -5,18 +5,18 @@
 import collections
 
 from lentilmount.control.metrics import ControlMetrics
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 
 
-def refresh_gauges(book: Book, metrics: ControlMetrics) -> None:
+def refresh_gauges(cluster: ClusterState, metrics: ControlMetrics) -> None:
     """Counts what waits, runs and serves."""
     waiting: collections.Counter[str] = collections.Counter()
-    for task in book.ready.values():
+    for task in cluster.ready.values():
         waiting[str(task.job.spec.queue.priority)] += 1
     workers: collections.Counter[str] = collections.Counter()
     tails: dict[str, float] = {}
     running = 0
-    for worker in book.workers.values():
+    for worker in cluster.workers.values():
         workers['yes' if worker.reachable else 'no'] += 1
         running += len(worker.tasks)
         for task in worker.tasks.values():
--- a/lentilmount/control/intake.py
+++ b/lentilmount/control/intake.py
@@ -24,7 +24,7 @@
     decode_row,
     make_partition,
 )
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.rows import restore_state
 
 log = logbook.Logger('intake')
@@ -39,7 +39,7 @@
     Attributes:
       service: Whose jobs they are.
       table: Where the rows are.
-      book: Where they go.
+      cluster: Where they go.
       clock: The clocks.
       cancel: Cancels a job.
       wake: Called when there may be something to place.
@@ -47,7 +47,7 @@
 
     service: str
     table: PlatformTable
-    book: Book
+    cluster: ClusterState
     clock: Clock
     cancel: Callable[[str], None]
     wake: Callable[[], None]
@@ -80,12 +80,12 @@
         for number, row in enumerate(states):
             if number % PAGE == 0:
                 await asyncio.sleep(0)
-            job = self.book.jobs.get(row.key.sort)
+            job = self.cluster.jobs.get(row.key.sort)
             if job is not None:
                 job.version = row.version
-                restore_state(self.book, job, row.body, lapses_at, now)
+                restore_state(self.cluster, job, row.body, lapses_at, now)
         for job_id in cancelled:
-            self.book.cancel(job_id, now)
+            self.cluster.cancel(job_id, now)
         self._feed.position = jobs.version
 
     def _take_rows(self, rows: tuple[RawRow, ...]) -> list[str]:
@@ -99,8 +99,8 @@
             if raw.key.endswith(CANCEL_SUFFIX):
                 job_id = raw.key.removesuffix(CANCEL_SUFFIX)
                 cancelled.append(job_id)
-                if job_id in self.book.jobs:
-                    self.book.jobs[job_id].cancel_version = raw.version
+                if job_id in self.cluster.jobs:
+                    self.cluster.jobs[job_id].cancel_version = raw.version
             else:
                 self._admit(raw)
         return cancelled
@@ -113,7 +113,7 @@
             log.error('Job {} cannot be read: {!r}', raw.key, error)
             return
         now, wall = self.clock.monotonic(), self.clock.wall()
-        self.book.admit(spec, now, wall).row_version = raw.version
+        self.cluster.admit(spec, now, wall).row_version = raw.version
 
     async def follow(self) -> None:
         """Takes in what is handed in, for as long as it runs."""
--- a/lentilmount/control/leasedata.py
+++ b/lentilmount/control/leasedata.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance, list_silent
 
 UNWRITTEN = 'unwritten'
@@ -84,7 +84,10 @@
 
 
 def describe(
-    book: Book, inheritance: Inheritance | None, is_unwritten: bool, now: float
+    cluster: ClusterState,
+    inheritance: Inheritance | None,
+    is_unwritten: bool,
+    now: float,
 ) -> LeaseData:
     """Builds what an owner tells with a write.
 
@@ -94,12 +97,12 @@
     not heard at once.
 
     Args:
-      book: What the owner knows.
+      cluster: What the owner knows.
       inheritance: What the previous owner may have started unwritten.
       is_unwritten: Whether starts were sent that no row tells of after it.
       now: Monotonic time.
     """
-    silent = list_silent(book, now)
+    silent = list_silent(cluster, now)
     doubt = inheritance.get_left(now) if inheritance is not None else None
     if is_unwritten:
         return LeaseData(True, silent)
--- a/lentilmount/control/links.py
+++ b/lentilmount/control/links.py
@@ -11,7 +11,7 @@
 import logbook
 
 from lentilmount.platform.workers import Verdict, WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciling import News, Reconciler
 from lentilmount.scheduling.reports import Look
@@ -73,7 +73,7 @@
 
     Attributes:
       worker: The worker.
-      book: Where its tasks are.
+      cluster: Where its tasks are.
       calls: How it is called.
       events: Who is told.
       lease_seconds: Longest lease.
@@ -85,7 +85,7 @@
     """
 
     worker: Worker
-    book: Book
+    cluster: ClusterState
     calls: WorkerCalls
     events: Events
     lease_seconds: float
@@ -126,7 +126,9 @@
         now = self.monotonic()
         if self.worker.tasks and now > self.worker.lapses_at:
             self.events.take_lapse(
-                self.worker, self.book.lapse(self.worker, now), why
+                self.worker,
+                self.cluster.end_worker_tasks(self.worker, now),
+                why,
             )
 
     async def _look(self) -> None:
@@ -280,7 +282,7 @@
         worker.is_missed = False
         self.note_clock(look.clock_ms)
         fresh = tuple(e for e in look.ended if e.number > self.received)
-        news = Reconciler(self.book).take_look(
+        news = Reconciler(self.cluster).take_look(
             worker, attrs.evolve(look, ended=fresh), asked_at, self.monotonic()
         )
         self.received = max(self.received, news.acknowledged)
@@ -323,7 +325,7 @@
         self._inherited_end = 0.0
         worker = self.worker
         self._trust_orders()
-        tasks = self.book.lapse(worker, self.monotonic())
+        tasks = self.cluster.end_worker_tasks(worker, self.monotonic())
         if tasks:
             self.events.take_lapse(worker, tasks, why)
 
--- a/lentilmount/control/orders.py
+++ b/lentilmount/control/orders.py
@@ -16,7 +16,7 @@
     Verdict,
     WorkerCalls,
 )
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reconciling import Stray
 
@@ -34,7 +34,7 @@
     """Carries out what was decided, until each order's outcome is known.
 
     Attributes:
-      book: Where the tasks are.
+      cluster: Where the tasks are.
       calls: How workers are called.
       links: The links, by worker.
       events: Who is told.
@@ -44,7 +44,7 @@
       wake: Called when a task may be placed again.
     """
 
-    book: Book
+    cluster: ClusterState
     calls: WorkerCalls
     links: dict[str, Link]
     events: Events
@@ -66,7 +66,7 @@
         task.percent_before = task.percent
         task.percent = percent
         task.paced_at = self.monotonic()
-        worker = self.book.workers.get(task.worker)
+        worker = self.cluster.workers.get(task.worker)
         if worker is not None:
             worker.changes += 1
         self.start_task(self._pace(task, task.run, percent))
@@ -90,7 +90,7 @@
                 break
             verdict = answer.verdict
             if verdict is Verdict.DONE:
-                self.book.confirm(task, run, self.monotonic())
+                self.cluster.confirm_start(task, run, self.monotonic())
                 return
             if verdict is Verdict.FENCED:
                 self.events.lose(f'{task.worker} knows a higher token')
@@ -129,13 +129,13 @@
         if uncertain:
             # An earlier copy of the start may still be carried out there;
             # a stop of the same run prevents that.
-            self.book.begin_stop(task)
+            self.cluster.begin_stop(task)
             self.stop(task)
             return
-        worker = self.book.workers.get(task.worker)
+        worker = self.cluster.workers.get(task.worker)
         if worker is not None and verdict is Verdict.REFUSED:
             worker.closed_until = self.monotonic() + FORGET_SECONDS
-        self.book.reject(task, run)
+        self.cluster.reject_start(task, run)
         self.wake()
 
     async def _stop(self, task: Task, run: int) -> None:
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -26,7 +26,7 @@
 from lentilmount.platform.advice import AdviceCalls
 from lentilmount.platform.store import PlatformTable
 from lentilmount.platform.workers import WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import Health
 from lentilmount.scheduling.inheritance import (
     Inheritance,
@@ -102,7 +102,7 @@
         metrics: ControlMetrics,
         inherited: InheritedLeases,
     ):
-        self.book = Book()
+        self.cluster = ClusterState()
         self.links: dict[str, Link] = {}
         self.at_work = asyncio.Event()
         self._settings = settings
@@ -122,10 +122,10 @@
         self._background: set[asyncio.Task[None]] = set()
         sharing = self._sharing = Sharing()
         self._advice = Advice(
-            self.book, advice, clock.monotonic, self._wake.set
+            self.cluster, advice, clock.monotonic, self._wake.set
         )
         self._orders = Orders(
-            self.book,
+            self.cluster,
             calls,
             self.links,
             self,
@@ -135,26 +135,26 @@
             self._wake.set,
         )
         self._steering = Steering(
-            self.book, sharing, Health(), self._orders, metrics
+            self.cluster, sharing, Health(), self._orders, metrics
         )
         self._commits = Commits(
             settings.service,
             table,
             keeper,
             lease,
-            self.book,
+            self.cluster,
             sharing,
             self.links,
             clock,
             self._orders.start,
             self.lose,
-            Retention(settings.service, self.book, settings.status_seconds),
+            Retention(settings.service, self.cluster, settings.status_seconds),
             self._forget,
         )
         self._intake = Intake(
             settings.service,
             table,
-            self.book,
+            self.cluster,
             clock,
             self._cancel,
             self._wake.set,
@@ -180,15 +180,15 @@
         self._take_leases()
         doubt = self._inherited.get_doubt_left(CLOCK_DRIFT, now)
         inheritance = Inheritance(
-            self.book,
+            self.cluster,
             self._is_written,
             now + (lapse_seconds if doubt is None else doubt),
-            frozenset(self.book.jobs),
+            frozenset(self.cluster.jobs),
         )
         self._commits.inheritance = inheritance
         dispatch = Dispatch(
-            self.book,
-            Placer(self.book, self._sharing),
+            self.cluster,
+            Placer(self.cluster, self._sharing),
             self._commits,
             self._advice,
             inheritance,
@@ -201,11 +201,11 @@
         )
         log.info(
             'Loaded {} jobs of {}.',
-            len(self.book.jobs),
+            len(self.cluster.jobs),
             self._settings.service,
             extra={
                 'epoch': self._lease.epoch,
-                'ready': len(self.book.ready),
+                'ready': len(self.cluster.ready),
                 'written': self._is_written,
             },
         )
@@ -227,9 +227,9 @@
 
     def _take_leases(self) -> None:
         told = self._inherited
-        shorten_leases(self.book, told.remaining, CLOCK_DRIFT, told.at)
+        shorten_leases(self.cluster, told.remaining, CLOCK_DRIFT, told.at)
         for worker_id in told.remaining if told.are_withheld else ():
-            worker = self.book.workers.get(worker_id)
+            worker = self.cluster.workers.get(worker_id)
             if worker is not None:
                 worker.is_told_silent = True
 
@@ -238,7 +238,7 @@
         now = self._clock.monotonic()
         if not self.at_work.is_set():
             return self._inherited.list_left(CLOCK_DRIFT, now)
-        return list_remaining(self.book, now)
+        return list_remaining(self.cluster, now)
 
     def stop(self) -> None:
         """Makes `run` return."""
@@ -254,14 +254,14 @@
 
     def _resume(self) -> None:
         """Goes on with what the rows tell of."""
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             self._add_link(worker)
             for task in worker.tasks.values():
                 if task.phase is TaskPhase.STOPPING:
                     self._orders.stop(task)
 
     def _cancel(self, job_id: str) -> None:
-        for task in self.book.cancel(job_id, self._clock.monotonic()):
+        for task in self.cluster.cancel(job_id, self._clock.monotonic()):
             self._orders.stop(task)
         self._commits.note_change()
 
@@ -282,9 +282,9 @@
         )
 
     def _meet(self, entry: WorkerEntry) -> None:
-        known = self.book.workers.get(entry.id)
+        known = self.cluster.workers.get(entry.id)
         before = known.entry if known is not None else None
-        worker = self.book.meet(entry)
+        worker = self.cluster.register_worker(entry)
         if before is not None and before.born not in (0, entry.born):
             link = self.links.get(entry.id)
             if link is not None:
@@ -303,7 +303,7 @@
         self._wake.set()
 
     def _miss(self, worker_id: str) -> None:
-        worker = self.book.workers.get(worker_id)
+        worker = self.cluster.workers.get(worker_id)
         if worker is not None and worker.present:
             worker.present = False
             log.warning(
@@ -313,7 +313,7 @@
     def _add_link(self, worker: Worker) -> None:
         link = Link(
             worker,
-            self.book,
+            self.cluster,
             self._calls,
             self,
             self._settings.lease_seconds,
@@ -327,7 +327,7 @@
         worker = link.worker
         if self.links.get(worker.id) is link:
             del self.links[worker.id]
-            self.book.workers.pop(worker.id, None)
+            self.cluster.workers.pop(worker.id, None)
 
     # What links tell.
 
@@ -373,10 +373,10 @@
 
     def refresh_metrics(self) -> None:
         """Brings the gauges up to date."""
-        refresh_gauges(self.book, self._metrics)
+        refresh_gauges(self.cluster, self._metrics)
 
     async def _tick_always(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self.book.open_due(self._clock.wall())
+            self.cluster.create_due_tasks(self._clock.wall())
             self._steering.tick(self._clock.monotonic())
--- a/lentilmount/control/retention.py
+++ b/lentilmount/control/retention.py
@@ -10,7 +10,7 @@
     make_state_key,
 )
 from lentilmount.coordination.table import Delete, Operation
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Job
 
 MARGIN_SECONDS = 30.0
@@ -26,19 +26,19 @@
 
     Attributes:
       service: Whose jobs they are.
-      book: Where they are.
+      cluster: Where they are.
       seconds: How long a finished job is kept.
     """
 
     service: str
-    book: Book
+    cluster: ClusterState
     seconds: float
 
     def list_old(self, now: float) -> list[Job]:
         """Lists a few jobs whose rows can go."""
         keep = self.seconds + MARGIN_SECONDS
         old = []
-        for job in self.book.jobs.values():
+        for job in self.cluster.jobs.values():
             if not job.state.is_final or now - job.ended_at <= keep:
                 continue
             if not any(t.phase.is_placed for t in job.tasks.values()):
@@ -71,5 +71,5 @@
         does, while 24 jobs a second leave about 0.7 MB behind.
         """
         for job in jobs:
-            self.book.jobs.pop(job.spec.id, None)
+            self.cluster.jobs.pop(job.spec.id, None)
             job.tasks.clear()
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/steering.py
@@ -7,7 +7,7 @@
 
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.orders import Orders
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import Health, list_hanging
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
 from lentilmount.scheduling.pacing import Pacer
@@ -33,14 +33,14 @@
     """Keeps tasks that serve in bounds, and work off bad workers.
 
     Attributes:
-      book: Where the tasks are.
+      cluster: Where the tasks are.
       sharing: Who disturbs whom.
       health: Evidence against workers.
       orders: Carries out what is decided.
       metrics: Counts ends and changes of pace.
     """
 
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
     health: Health
     orders: Orders
@@ -98,7 +98,7 @@
                     'worker': worker.id,
                 },
             )
-        workers = list(self.book.workers.values())
+        workers = list(self.cluster.workers.values())
         if tasks and self.health.may_close(workers, now):
             self.health.close(worker, now)
 
@@ -148,7 +148,7 @@
                 'usage': task.usage,
             },
         )
-        self.book.begin_stop(task)
+        self.cluster.begin_stop(task)
         self.orders.stop(task)
 
     def drain(self, worker: Worker) -> None:
@@ -161,7 +161,7 @@
         """Moves what stands still, by itself or by order."""
         self._move_halted(now)
         self._stop_hanging(now)
-        workers = list(self.book.workers.values())
+        workers = list(self.cluster.workers.values())
         self.health.end_trials(workers, now)
         self._review_leases(workers, now)
 
@@ -188,7 +188,7 @@
                 self.stop(task, 'it disturbs what serves there')
 
     def _stop_hanging(self, now: float) -> None:
-        workers = list(self.book.workers.values())
+        workers = list(self.cluster.workers.values())
         for worker in workers:
             hanging = list_hanging(worker, now) if worker.reachable else []
             if not hanging:
--- a/lentilmount/scheduling/book.py
+++ b/lentilmount/scheduling/cluster.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 
 from lentilmount.scheduling.model import (
+    EndedTask,
     Job,
     JobState,
-    LeftTask,
     Task,
     TaskPhase,
     Worker,
@@ -44,7 +44,7 @@
     return tuple(longest)
 
 
-class Book:
+class ClusterState:
     """Jobs, tasks and workers of one service.
 
     Attributes:
@@ -77,7 +77,7 @@
         self.open_occurrences(job, wall)
         return job
 
-    def open_due(self, wall: float) -> None:
+    def create_due_tasks(self, wall: float) -> None:
         """Creates the tasks of all jobs' occurrences that are due."""
         for job in self.jobs.values():
             if job.spec.occurrences > job.occurrences:
@@ -127,9 +127,9 @@
         job = self.jobs.get(job_id)
         if job is None or job.state.is_final:
             return []
-        return self.finish(job, JobState.CANCELLED, now)
+        return self.finish_job(job, JobState.CANCELLED, now)
 
-    def finish(self, job: Job, state: JobState, now: float) -> list[Task]:
+    def finish_job(self, job: Job, state: JobState, now: float) -> list[Task]:
         """Ends a job; returns its tasks that must be stopped."""
         job.state = state
         job.ended_at = now
@@ -189,14 +189,14 @@
         self.ready.pop(task.id, None)
         if not task.job.has_started:
             task.job.started_at = now
-        self.note_started(task.job)
+        self.mark_placed(task.job)
 
-    def note_started(self, job: Job) -> None:
+    def mark_placed(self, job: Job) -> None:
         """Notes that a task of a job was placed."""
         job.has_started = True
         self.dirty[job.spec.id] = None
 
-    def note_begun(self, job: Job) -> None:
+    def mark_started(self, job: Job) -> None:
         """Notes that a worker has begun a task of a job.
 
         Only then is the job shown as running: a start that was sent may never
@@ -207,27 +207,27 @@
             job.state = JobState.RUNNING
             self.dirty[job.spec.id] = None
 
-    def confirm(self, task: Task, run: int, now: float) -> None:
+    def confirm_start(self, task: Task, run: int, now: float) -> None:
         """Takes in that a worker has started a run."""
         if task.run == run and task.phase is TaskPhase.STARTING:
             task.phase = TaskPhase.RUNNING
             task.confirmed_at = now
-            self.note_begun(task.job)
+            self.mark_started(task.job)
 
-    def reject(self, task: Task, run: int) -> None:
+    def reject_start(self, task: Task, run: int) -> None:
         """Takes in that a worker surely has not started a run."""
         if task.run == run and task.phase in (
             TaskPhase.STARTING,
             TaskPhase.STOPPING,
         ):
-            self.put_back(task)
+            self.requeue(task)
 
     def begin_stop(self, task: Task) -> None:
         """Marks a placed task as being stopped."""
         if task.phase in (TaskPhase.STARTING, TaskPhase.RUNNING):
             task.phase = TaskPhase.STOPPING
 
-    def put_back(self, task: Task) -> None:
+    def requeue(self, task: Task) -> None:
         """Frees what a task took; it waits again if its job goes on."""
         worker = self.workers.get(task.worker)
         if worker is not None:
@@ -241,7 +241,7 @@
         if self.is_released(task):
             self.ready[task.id] = task
 
-    def end(self, task: Task, kind: EndKind, now: float) -> list[Task]:
+    def end_run(self, task: Task, kind: EndKind, now: float) -> list[Task]:
         """Takes in how a placed task's run ended.
 
         Returns:
@@ -251,19 +251,19 @@
         task.lost_at = now
         if task.spec.fills and worker in self.workers:
             share = measure_intensity(task) * task.percent / 100
-            left = LeftTask(task.spec.image, share, now)
-            self.workers[worker].note_left(left)
-        self.put_back(task)
+            left = EndedTask(task.spec.image, share, now)
+            self.workers[worker].record_ended_task(left)
+        self.requeue(task)
         if task.job.state.is_final:
             return []
         if kind is EndKind.DONE and not task.spec.lasting:
             return self.complete(task, now)
         if kind is EndKind.FAILED:
             task.failed_on.add(worker)
-            return self.note_failure(task, task.run, now)
+            return self.record_failure(task, task.run, now)
         return []
 
-    def note_failure(self, task: Task, run: int, now: float) -> list[Task]:
+    def record_failure(self, task: Task, run: int, now: float) -> list[Task]:
         """Counts a run that failed, once, however often it is listed.
 
         Runs are told apart by their numbers: workers list an end until it is
@@ -279,7 +279,7 @@
         self.dirty[task.job.spec.id] = None
         if not self.is_given_up(task):
             return []
-        return self.finish(task.job, JobState.FAILED, now)
+        return self.finish_job(task.job, JobState.FAILED, now)
 
     def is_given_up(self, task: Task) -> bool:
         """Tells whether a task has failed as often as it may."""
@@ -350,8 +350,11 @@
 
     # Workers.
 
-    def meet(self, entry: WorkerEntry) -> Worker:
-        """Takes in a registration; see `lapse` for a new incarnation."""
+    def register_worker(self, entry: WorkerEntry) -> Worker:
+        """Records a registration.
+
+        See `end_worker_tasks` for a new incarnation.
+        """
         worker = self.workers.get(entry.id)
         if worker is None:
             worker = Worker(entry)
@@ -360,7 +363,7 @@
         worker.present = True
         return worker
 
-    def lapse(self, worker: Worker, now: float) -> list[Task]:
+    def end_worker_tasks(self, worker: Worker, now: float) -> list[Task]:
         """Ends everything on a worker: its leases ran out or it restarted.
 
         Returns:
@@ -368,5 +371,5 @@
         """
         tasks = list(worker.tasks.values())
         for task in tasks:
-            self.end(task, EndKind.LAPSED, now)
+            self.end_run(task, EndKind.LAPSED, now)
         return tasks
--- a/lentilmount/scheduling/consolidation.py
+++ b/lentilmount/scheduling/consolidation.py
@@ -14,7 +14,7 @@
 import attrs
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.demand import FillingDemand
 from lentilmount.scheduling.model import Task, TaskPhase
 from lentilmount.scheduling.views import SERVING_LOAD, WorkerView, get_step
@@ -63,11 +63,11 @@
     """Chooses serving tasks that would serve better elsewhere.
 
     Attributes:
-      book: Where the tasks are.
+      cluster: Where the tasks are.
       demand: Which images the filling work is of.
     """
 
-    book: Book
+    cluster: ClusterState
     demand: FillingDemand
     _looked_at: float = 0.0
 
@@ -84,7 +84,7 @@
         """
         self._looked_at = now
         self.demand.note(now)
-        waits = any(task.spec.fills for task in self.book.ready.values())
+        waits = any(task.spec.fills for task in self.cluster.ready.values())
         if not waits or self._measure_away() > MOST_AWAY:
             return []
         moves = [move for view in views for move in self._list_moves(view, now)]
@@ -100,7 +100,7 @@
     def _measure_away(self) -> float:
         """Returns the share of the lasting cores that serve nobody now."""
         total = away = 0.0
-        for job in self.book.jobs.values():
+        for job in self.cluster.jobs.values():
             if job.state.is_final or not job.spec.steps[0].lasting:
                 continue
             for task in job.tasks.values():
--- a/lentilmount/scheduling/costs.py
+++ b/lentilmount/scheduling/costs.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.offers import Price
 from lentilmount.scheduling.sharing import Sharing, count_fills
@@ -64,11 +64,11 @@
     """Prices of workers, as a book and what was learned of images tell.
 
     Attributes:
-      book: Where the tasks are.
+      cluster: Where the tasks are.
       sharing: Which images bear which.
     """
 
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
 
     def make_price(self, task: Task) -> Price:
@@ -84,7 +84,7 @@
         racks: collections.Counter[str] = collections.Counter()
         zones: collections.Counter[str] = collections.Counter()
         for other in task.job.tasks.values():
-            worker = self.book.workers.get(other.worker)
+            worker = self.cluster.workers.get(other.worker)
             if worker is not None:
                 hosts[worker.id] += 1
                 racks[worker.rack] += 1
--- a/lentilmount/scheduling/demand.py
+++ b/lentilmount/scheduling/demand.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.sharing import Sharing
 
 AVERAGE_SECONDS = 5.0
@@ -20,11 +20,11 @@
     """Shares of the filling work that waits and runs, by image.
 
     Attributes:
-      book: Where the work is.
+      cluster: Where the work is.
       sharing: Which images bear which.
     """
 
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
     _cores: dict[str, float] = attrs.Factory(dict)
     _shares: dict[str, float] = attrs.Factory(dict)
@@ -45,8 +45,8 @@
     def _count_cores(self) -> collections.defaultdict[str, float]:
         found: collections.defaultdict[str, float]
         found = collections.defaultdict(float)
-        tasks = list(self.book.ready.values())
-        for worker in self.book.workers.values():
+        tasks = list(self.cluster.ready.values())
+        for worker in self.cluster.workers.values():
             tasks += worker.tasks.values()
         for task in tasks:
             if task.spec.fills:
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task
 from lentilmount.scheduling.ranking import (
     AWAY_SECONDS,
@@ -41,10 +41,10 @@
     """Knows how much room urgent work is likely to need.
 
     Attributes:
-      book: Jobs, tasks and workers.
+      cluster: Jobs, tasks and workers.
     """
 
-    book: Book
+    cluster: ClusterState
     _demand: float = 0.0
     _running: float = 0.0
     _noted_at: float = -math.inf
@@ -57,14 +57,14 @@
         self._noted_at = now
         self._running = sum(
             task.spec.demand.cores
-            for worker in self.book.workers.values()
+            for worker in self.cluster.workers.values()
             for task in worker.tasks.values()
             if is_urgent(task)
         )
         # What cannot be in time any more has no claim on room.
         waiting = sum(
             task.spec.demand.cores
-            for task in self.book.ready.values()
+            for task in self.cluster.ready.values()
             if is_urgent(task) and find_outlook(task, now) is Outlook.IN_TIME
         )
         if math.isinf(passed):
--- a/lentilmount/scheduling/inheritance.py
+++ b/lentilmount/scheduling/inheritance.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 
 
@@ -24,13 +24,13 @@
     seen until the end.
 
     Attributes:
-      book: Jobs and workers.
+      cluster: Jobs and workers.
       is_written: Whether the rows surely tell of all starts.
       until: Monotonic time by which the previous owner's leases have run out.
       jobs: Ids of the jobs that were inherited.
     """
 
-    book: Book
+    cluster: ClusterState
     is_written: bool
     until: float
     jobs: frozenset[str]
@@ -39,7 +39,9 @@
         """Tells whether some worker may run what nobody has written."""
         if self.is_written or now > self.until:
             return False
-        return any(not worker.reached for worker in self.book.workers.values())
+        return any(
+            not worker.reached for worker in self.cluster.workers.values()
+        )
 
     def get_left(self, now: float) -> float | None:
         """Returns for how many seconds a doubt lasts at most, or None.
@@ -93,7 +95,7 @@
         return max(0.0, seconds * (1 + drift) - (now - self.at))
 
 
-def list_remaining(book: Book, now: float) -> dict[str, float]:
+def list_remaining(cluster: ClusterState, now: float) -> dict[str, float]:
     """Lists for how long leases may still run on workers.
 
     Told to the next owner with the release of the service. Without it each
@@ -107,12 +109,12 @@
     """
     return {
         worker.id: max(0.0, worker.lapses_at - now)
-        for worker in book.workers.values()
+        for worker in cluster.workers.values()
         if worker.tasks and worker.lapses_at
     }
 
 
-def list_silent(book: Book, now: float) -> dict[str, float]:
+def list_silent(cluster: ClusterState, now: float) -> dict[str, float]:
     """Lists for how long leases may still run on workers that do not answer.
 
     Told with each write of the lease, since an owner that is killed writes no
@@ -124,8 +126,8 @@
     """
     return {
         name: seconds
-        for name, seconds in list_remaining(book, now).items()
-        if is_silent(book.workers[name])
+        for name, seconds in list_remaining(cluster, now).items()
+        if is_silent(cluster.workers[name])
     }
 
 
@@ -136,18 +138,21 @@
 
 
 def shorten_leases(
-    book: Book, remaining: Mapping[str, float], drift: float, now: float
+    cluster: ClusterState,
+    remaining: Mapping[str, float],
+    drift: float,
+    now: float,
 ) -> None:
     """Takes over what `list_remaining` told at the release.
 
     Args:
-      book: The book as restored, before any worker was asked.
+      cluster: The book as restored, before any worker was asked.
       remaining: What the previous owner has told.
       drift: Share by which two clocks differ in rate at most.
       now: Monotonic time.
     """
     for worker_id, seconds in remaining.items():
-        worker = book.workers.get(worker_id)
+        worker = cluster.workers.get(worker_id)
         if worker is not None and not worker.reached:
             until = now + seconds * (1 + drift)
             worker.lapses_at = min(worker.lapses_at, until)
--- a/lentilmount/scheduling/model.py
+++ b/lentilmount/scheduling/model.py
@@ -179,7 +179,7 @@
 
 
 @attrs.frozen
-class LeftTask:
+class EndedTask:
     """A filling task that has ended.
 
     Attributes:
@@ -238,7 +238,7 @@
     pace: float = 1.0
     changes: int = 0
     _used: Room | None = None
-    _left: list[LeftTask] = attrs.Factory(list)
+    _left: list[EndedTask] = attrs.Factory(list)
 
     @property
     def id(self) -> str:
@@ -282,11 +282,11 @@
             task.placed_at >= self.closed_until for task in self.tasks.values()
         )
 
-    def note_left(self, left: LeftTask) -> None:
+    def record_ended_task(self, left: EndedTask) -> None:
         """Remembers a filling task for the figures that still cover it."""
         self._left.append(left)
 
-    def list_left(self, since: float) -> list[LeftTask]:
+    def list_recently_ended(self, since: float) -> list[EndedTask]:
         """Lists the filling tasks that ended after a time."""
         self._left = [left for left in self._left if left.at > since]
         return self._left
--- a/lentilmount/scheduling/placing.py
+++ b/lentilmount/scheduling/placing.py
@@ -10,7 +10,7 @@
 import attrs
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.consolidation import Consolidation
 from lentilmount.scheduling.costs import Costs
 from lentilmount.scheduling.demand import FillingDemand
@@ -50,7 +50,7 @@
 class Placer:
     """Chooses workers for the tasks of a book that are ready."""
 
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
     _views: Views = attrs.field(init=False)
     _consolidation: Consolidation = attrs.field(init=False)
@@ -59,10 +59,10 @@
 
     def __attrs_post_init__(self) -> None:
         """Keeps what is worked out from pass to pass."""
-        self._views = Views(self.book, self.sharing)
-        demand = FillingDemand(self.book, self.sharing)
-        self._consolidation = Consolidation(self.book, demand)
-        self._headroom = Headroom(self.book)
+        self._views = Views(self.cluster, self.sharing)
+        demand = FillingDemand(self.cluster, self.sharing)
+        self._consolidation = Consolidation(self.cluster, demand)
+        self._headroom = Headroom(self.cluster)
 
     def choose_moves(self, now: float) -> list[Task]:
         """Chooses serving tasks to be stopped, as they serve better elsewhere.
@@ -75,13 +75,13 @@
 
     def place(self, now: float, allows: Allows) -> list[Chosen]:
         """Places what can be placed now, and returns it."""
-        if not self.book.ready:
+        if not self.cluster.ready:
             return []
         views = self._views.list_open(now)
         self._headroom.note(now)
         self._holds.expire(now)
         work = _Pass(
-            self.book,
+            self.cluster,
             self.sharing,
             self._headroom,
             self._holds,
@@ -97,7 +97,7 @@
 
     def __init__(
         self,
-        book: Book,
+        cluster: ClusterState,
         sharing: Sharing,
         headroom: Headroom,
         holds: Holds,
@@ -105,11 +105,11 @@
         now: float,
         allows: Allows,
     ):
-        self._book = book
+        self._cluster = cluster
         self._sharing = sharing
         self._headroom = headroom
         self._holds = holds
-        self._costs = Costs(book, sharing)
+        self._costs = Costs(cluster, sharing)
         self._now = now
         self._allows = allows
         self._hopeless: dict[Shape, list[Room]] = {}
@@ -120,7 +120,7 @@
         """Places the tasks of each step until one does not fit."""
         placed: list[Chosen] = []
         failed: collections.Counter[Kind] = collections.Counter()
-        steps = sort_steps(self._book.ready.values(), self._now)
+        steps = sort_steps(self._cluster.ready.values(), self._now)
         newest = max(
             (s[0].job.accepted_at for s in steps if is_new(s[0])),
             default=0.0,
@@ -174,7 +174,7 @@
             view = self._find_worker(task, shared)
             if view is None:
                 return placed, False
-            self._book.place([task], view.worker, self._now)
+            self._cluster.place([task], view.worker, self._now)
             view.renew(self._sharing)
             if offers is not None:
                 offers.renew(view)
@@ -199,12 +199,12 @@
 
     def _place_gang(self, task: Task) -> list[Chosen]:
         """Places all members or none: alone each would only wait."""
-        members = self._book.list_step(task)
+        members = self._cluster.list_step(task)
         if any(t.phase is not TaskPhase.WAITING for t in members):
             return []
         newest = max((t.checkpoint for t in members), default='')
         before = [(t, t.run, t.skipped) for t in members]
-        self._book.number(members)
+        self._cluster.number(members)
         views = self._views
         chosen: list[Chosen] = []
         for member in members:
@@ -213,7 +213,7 @@
             if view is None:
                 self._undo(chosen, before)
                 return []
-            self._book.place_numbered(member, view.worker, self._now)
+            self._cluster.place_numbered(member, view.worker, self._now)
             view.renew(self._sharing)
             chosen.append((member, view.worker))
             if task.spec.same_rack:
@@ -224,7 +224,7 @@
         self, chosen: list[Chosen], before: list[tuple[Task, int, int]]
     ) -> None:
         for member, _ in chosen:
-            self._book.reject(member, member.run)
+            self._cluster.reject_start(member, member.run)
         for member, run, skipped in before:
             member.run = run
             member.skipped = skipped
--- a/lentilmount/scheduling/reconciling.py
+++ b/lentilmount/scheduling/reconciling.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import EndKind, EndRow, Look, RunningRow
 from lentilmount.scheduling.specs import TaskId
@@ -49,8 +49,8 @@
 class Reconciler:
     """Takes looks at workers into a book."""
 
-    def __init__(self, book: Book):
-        self._book = book
+    def __init__(self, cluster: ClusterState):
+        self._cluster = cluster
 
     def take_look(
         self, worker: Worker, look: Look, asked_at: float, now: float
@@ -73,10 +73,10 @@
                 listed.add(task.id)
         for task in self._list_vanished(worker, listed, asked_at):
             if task.phase is TaskPhase.STARTING:
-                self._book.put_back(task)
+                self._cluster.requeue(task)
                 news.expired.append(task)
                 continue
-            self._book.end(task, EndKind.LAPSED, now)
+            self._cluster.end_run(task, EndKind.LAPSED, now)
             news.ended.append((task, EndKind.LAPSED))
         worker.opaque = bool(news.unknown)
         worker.runs_strays = bool(news.strays)
@@ -106,7 +106,7 @@
         task_id = TaskId.parse(name)
         if task_id is None:
             return None
-        job = self._book.jobs.get(task_id.job)
+        job = self._cluster.jobs.get(task_id.job)
         return job.tasks.get(task_id) if job is not None else None
 
     def _take_end(
@@ -116,14 +116,14 @@
         task = self._find(end.task)
         if task is None:
             return
-        self._book.note_begun(task.job)
+        self._cluster.mark_started(task.job)
         here = task.worker == worker.id and task.run == end.run
         if not here:
             self._take_late_end(task, end, news, now)
             return
         if end.checkpoint:
             task.checkpoint = end.checkpoint
-        self._stop(self._book.end(task, end.kind, now), news)
+        self._stop(self._cluster.end_run(task, end.kind, now), news)
         news.ended.append((task, end.kind))
 
     def _stop(self, tasks: list[Task], news: News) -> None:
@@ -143,7 +143,7 @@
             task.run = end.run
             if end.checkpoint:
                 task.checkpoint = end.checkpoint
-            self._book.dirty[task.job.spec.id] = None
+            self._cluster.dirty[task.job.spec.id] = None
         if task.job.state.is_final:
             return
         task.job.has_started = True
@@ -151,10 +151,10 @@
             return
         is_new = end.run not in task.failed_runs
         if end.kind is EndKind.FAILED and is_new:
-            self._stop(self._book.note_failure(task, end.run, now), news)
+            self._stop(self._cluster.record_failure(task, end.run, now), news)
             news.ended.append((task, end.kind))
         elif end.kind is EndKind.DONE and task.phase is TaskPhase.WAITING:
-            self._stop(self._book.complete(task, now), news)
+            self._stop(self._cluster.complete(task, now), news)
             news.ended.append((task, end.kind))
 
     def _take_running(
@@ -164,7 +164,7 @@
         if task is None:
             news.unknown.append(row.task)
             return None
-        self._book.note_begun(task.job)
+        self._cluster.mark_started(task.job)
         self._supersede(task, row.run)
         idle = task.phase in (TaskPhase.WAITING, TaskPhase.GIVEN_UP)
         if idle and row.run >= task.run:
@@ -188,7 +188,7 @@
         newer run would be stopped, or its end missed and the task run again.
         """
         if task.phase.is_placed and run > task.run:
-            self._book.put_back(task)
+            self._cluster.requeue(task)
 
     def _adopt(
         self, task: Task, worker: Worker, row: RunningRow, now: float
@@ -200,13 +200,13 @@
         task.confirmed_at = now
         task.stopped_at = math.inf
         worker.add(task)
-        self._book.ready.pop(task.id, None)
-        self._book.note_started(task.job)
+        self._cluster.ready.pop(task.id, None)
+        self._cluster.mark_placed(task.job)
         if task.job.state.is_final:
-            self._book.begin_stop(task)
+            self._cluster.begin_stop(task)
 
     def _update(self, task: Task, row: RunningRow, now: float) -> None:
-        self._book.confirm(task, row.run, now)
+        self._cluster.confirm_start(task, row.run, now)
         if row.checkpoint:
             task.checkpoint = row.checkpoint
         task.usage = row.usage
--- a/lentilmount/scheduling/rows.py
+++ b/lentilmount/scheduling/rows.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import RUN_MARGIN, Book
+from lentilmount.scheduling.cluster import RUN_MARGIN, ClusterState
 from lentilmount.scheduling.model import Job, JobState, Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 from lentilmount.scheduling.specs import TaskId
@@ -69,12 +69,16 @@
 
 
 def restore_state(
-    book: Book, job: Job, body: dict[str, Any], lapses_at: float, now: float
+    cluster: ClusterState,
+    job: Job,
+    body: dict[str, Any],
+    lapses_at: float,
+    now: float,
 ) -> None:
     """Takes over what a job's state row says.
 
     Args:
-      book: Where the job is.
+      cluster: Where the job is.
       job: The job, as admitted.
       body: The row's body.
       lapses_at: Monotonic time by which leases that the previous owner gave
@@ -85,34 +89,34 @@
     entries = dict(body.get('tasks', {}))
     done = [_parse(job, name) for name in _list_done(entries.pop(DONE, {}))]
     others = {_parse(job, name): entry for name, entry in entries.items()}
-    _open_told(book, job, [*done, *others])
+    _open_told(cluster, job, [*done, *others])
     for task_id in done:
         task = job.tasks.get(task_id)
         if task is not None:
-            book.restore_done(task, now)
+            cluster.restore_done(task, now)
     for task_id, entry in others.items():
         task = job.tasks.get(task_id)
         if task is not None:
-            _restore_task(book, task, entry, lapses_at, now)
+            _restore_task(cluster, task, entry, lapses_at, now)
     if state.is_final:
         job.is_told = True
-        book.finish(job, state, now)
+        cluster.finish_job(job, state, now)
     else:
         job.state = state
     has_begun = state is not JobState.QUEUED
     job.has_begun |= has_begun
     job.has_started |= has_begun
-    book.dirty.pop(job.spec.id, None)
+    cluster.dirty.pop(job.spec.id, None)
 
 
-def _open_told(book: Book, job: Job, told: list[TaskId]) -> None:
+def _open_told(cluster: ClusterState, job: Job, told: list[TaskId]) -> None:
     """Creates the tasks of occurrences that the previous owner has begun.
 
     By a slower clock they are not due yet. What the row says of them would be
     dropped, and what is done would run again when they are.
     """
     last = max((task_id.occurrence for task_id in told), default=-1)
-    book.open_until(job, min(last + 1, max(1, job.spec.occurrences)))
+    cluster.open_until(job, min(last + 1, max(1, job.spec.occurrences)))
 
 
 def _list_done(done: dict[str, list[int]]) -> Iterator[str]:
@@ -128,10 +132,10 @@
 
 
 def _restore_task(
-    book: Book, task: Task, entry: Any, lapses_at: float, now: float
+    cluster: ClusterState, task: Task, entry: Any, lapses_at: float, now: float
 ) -> None:
     if entry == DONE:
-        book.restore_done(task, now)
+        cluster.restore_done(task, now)
         return
     run, worker, *rest = entry
     failed_runs = rest[0] if rest else ()
@@ -142,13 +146,13 @@
     task.run = run
     task.skipped = RUN_MARGIN
     if worker:
-        known = book.workers.get(worker)
+        known = cluster.workers.get(worker)
         if known is None:
             known = make_unregistered(worker)
-            book.workers[worker] = known
+            cluster.workers[worker] = known
         if not known.reached:
             known.lapses_at = max(known.lapses_at, lapses_at)
-        book.restore_placed(task, known)
+        cluster.restore_placed(task, known)
 
 
 def make_unregistered(worker: str) -> Worker:
--- a/lentilmount/scheduling/sharing.py
+++ b/lentilmount/scheduling/sharing.py
@@ -316,7 +316,7 @@
 def _count_past(worker: Worker, now: float) -> dict[str, float]:
     """Counts the filling tasks of the half second that a figure covers."""
     counts: dict[str, float] = {}
-    for left in worker.list_left(now - FIGURE_SECONDS):
+    for left in worker.list_recently_ended(now - FIGURE_SECONDS):
         share = 1 - (now - left.at) / FIGURE_SECONDS
         counts[left.image] = counts.get(left.image, 0.0) + share * left.share
     for task in worker.tasks.values():
--- a/lentilmount/scheduling/views.py
+++ b/lentilmount/scheduling/views.py
@@ -14,7 +14,7 @@
 import attrs
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 from lentilmount.scheduling.sharing import Sharing, count_fills
@@ -131,11 +131,11 @@
     """The views of all workers, kept from pass to pass.
 
     Attributes:
-      book: Where the workers are.
+      cluster: Where the workers are.
       sharing: What was learned of images.
     """
 
-    book: Book
+    cluster: ClusterState
     sharing: Sharing
     _views: dict[str, WorkerView] = attrs.Factory(dict)
     _renewed_at: float = -math.inf
@@ -145,12 +145,12 @@
         is_due = now - self._renewed_at >= RENEW_SECONDS
         if is_due:
             self._renewed_at = now
-            workers = self.book.workers
+            workers = self.cluster.workers
             gone = [name for name in self._views if name not in workers]
             for name in gone:
                 del self._views[name]
         found = []
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             if not is_open(worker, now):
                 continue
             view = self._views.get(worker.id)
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Job, Task, Worker
 from lentilmount.scheduling.placing import Placer
 from lentilmount.scheduling.reports import (
@@ -64,23 +64,27 @@
     return WorkerEntry(name, **{**given, **fields})
 
 
-def add_worker(book: Book, name: str, **fields: Any) -> Worker:
+def add_worker(cluster: ClusterState, name: str, **fields: Any) -> Worker:
     """Adds a worker that has answered."""
-    worker = book.meet(make_entry(name, **fields))
+    worker = cluster.register_worker(make_entry(name, **fields))
     worker.reached = worker.reachable = True
     return worker
 
 
-def find_task(book: Book, job_id: str, step: int = 0, index: int = 0) -> Task:
+def find_task(
+    cluster: ClusterState, job_id: str, step: int = 0, index: int = 0
+) -> Task:
     """Returns a task of the first occurrence."""
-    job = book.jobs[job_id]
+    job = cluster.jobs[job_id]
     return job.tasks[TaskId(job_id, 0, step, index)]
 
 
-def run_task(book: Book, task: Task, worker: Worker, now: float = 1.0) -> None:
+def run_task(
+    cluster: ClusterState, task: Task, worker: Worker, now: float = 1.0
+) -> None:
     """Starts a task and lets the worker confirm it."""
-    book.place([task], worker, now)
-    book.confirm(task, task.run, now)
+    cluster.place([task], worker, now)
+    cluster.confirm_start(task, task.run, now)
 
 
 def make_look(
@@ -104,15 +108,15 @@
     return RunningRow(str(task.id), run, '', 0, usage)
 
 
-def admit(book: Book, spec: JobSpec) -> Job:
+def admit(cluster: ClusterState, spec: JobSpec) -> Job:
     """Admits a job at time 0."""
-    return book.admit(spec, 0.0, 0.0)
+    return cluster.admit(spec, 0.0, 0.0)
 
 
-def hand_over(book: Book) -> Book:
+def hand_over(cluster: ClusterState) -> ClusterState:
     """Returns the book of a new owner that has read all rows."""
-    new = Book()
-    for job in book.jobs.values():
+    new = ClusterState()
+    for job in cluster.jobs.values():
         restored = admit(new, job.spec)
         restore_state(new, restored, encode_state(job), lapses_at=20.0, now=4.0)
     return new
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -9,7 +9,7 @@
 from lentilmount.clock import ManualClock
 from lentilmount.control.advice import ASKED_WORKERS, Advice
 from lentilmount.platform.advice import AdviceCalls, Tickets
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import (
@@ -55,7 +55,7 @@
     """A queue that needs advice."""
 
     clock: ManualClock = attrs.Factory(ManualClock)
-    book: Book = attrs.Factory(Book)
+    cluster: ClusterState = attrs.Factory(ClusterState)
     calls: ToldCalls = attrs.field(
         factory=lambda: ToldCalls(HttpCaller(''), 1.0)
     )
@@ -64,7 +64,7 @@
     def make_advice(self) -> Advice:
         """Builds what keeps the tickets."""
         return Advice(
-            self.book,
+            self.cluster,
             self.calls,
             self.clock.monotonic,
             lambda: self.woken.append(True),
@@ -72,12 +72,12 @@
 
     def add(self, name: str) -> Worker:
         """Adds a worker."""
-        return add_worker(self.book, name)
+        return add_worker(self.cluster, name)
 
     def admit(self, job_id: str) -> Task:
         """Admits a job of the queue."""
-        admit(self.book, make_job(job_id, policy=ADVISED))
-        return find_task(self.book, job_id)
+        admit(self.cluster, make_job(job_id, policy=ADVISED))
+        return find_task(self.cluster, job_id)
 
 
 async def run_for_a_moment(advice: Advice, rounds: int = 3) -> None:
@@ -116,9 +116,9 @@
     task = scene.admit('a')
     advice = scene.make_advice()
     run(run_for_a_moment(advice))
-    scene.book.meet(make_entry('w', born=2))
+    scene.cluster.register_worker(make_entry('w', born=2))
     assert not advice.allows(task, worker)
-    scene.book.meet(make_entry('w', born=1))
+    scene.cluster.register_worker(make_entry('w', born=1))
     assert advice.allows(task, worker)
     scene.clock.advance(VALID_SECONDS - 0.1)
     assert not advice.allows(task, worker)
@@ -135,7 +135,7 @@
     advice = scene.make_advice()
     run(run_for_a_moment(advice))
     assert [len(asked) for asked in scene.calls.asked] == [ASKED_WORKERS] * 2
-    assert advice.allows(task, scene.book.workers[names[-1]])
+    assert advice.allows(task, scene.cluster.workers[names[-1]])
 
 
 def test_a_lost_service_stops_only_the_queues_that_need_it() -> None:
@@ -143,11 +143,11 @@
     scene.calls.is_down = True
     worker = scene.add('w')
     task = scene.admit('a')
-    admit(scene.book, make_job('free'))
+    admit(scene.cluster, make_job('free'))
     advice = scene.make_advice()
     run(run_for_a_moment(advice))
     assert not advice.allows(task, worker)
-    assert advice.allows(find_task(scene.book, 'free'), worker)
+    assert advice.allows(find_task(scene.cluster, 'free'), worker)
 
 
 def test_what_is_over_is_forgotten() -> None:
--- a/tests/test_book.py
+++ b/tests/test_cluster.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import JobState, Task, TaskPhase
 from lentilmount.scheduling.reconciling import Reconciler, Stray
@@ -25,84 +25,84 @@
 )
 
 
-def take_over(worker: str) -> tuple[Book, Task]:
+def take_over(worker: str) -> tuple[ClusterState, Task]:
     """Returns the book of a new owner, and a task running on a worker."""
-    book = Book()
-    admit(book, make_job('a'))
-    run_task(book, find_task(book, 'a'), add_worker(book, worker))
-    new = hand_over(book)
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    run_task(cluster, find_task(cluster, 'a'), add_worker(cluster, worker))
+    new = hand_over(cluster)
     return new, find_task(new, 'a')
 
 
 def test_a_step_waits_for_all_tasks_before_it() -> None:
-    book = Book()
-    admit(book, make_job('a', make_step(count=2), make_step(after=(0,))))
-    worker = add_worker(book, 'w')
-    last = find_task(book, 'a', 1)
+    cluster = ClusterState()
+    admit(cluster, make_job('a', make_step(count=2), make_step(after=(0,))))
+    worker = add_worker(cluster, 'w')
+    last = find_task(cluster, 'a', 1)
     for index in range(2):
-        assert last.id not in book.ready
-        task = find_task(book, 'a', 0, index)
-        run_task(book, task, worker)
-        book.end(task, EndKind.DONE, 2.0)
-    assert last.id in book.ready
+        assert last.id not in cluster.ready
+        task = find_task(cluster, 'a', 0, index)
+        run_task(cluster, task, worker)
+        cluster.end_run(task, EndKind.DONE, 2.0)
+    assert last.id in cluster.ready
 
 
 def test_only_failed_ends_use_up_attempts() -> None:
-    book = Book()
-    job = admit(book, make_job('a'))
-    worker = add_worker(book, 'w')
-    task = find_task(book, 'a')
+    cluster = ClusterState()
+    job = admit(cluster, make_job('a'))
+    worker = add_worker(cluster, 'w')
+    task = find_task(cluster, 'a')
     for kind in (EndKind.STOPPED, EndKind.LAPSED, EndKind.FAILED):
-        run_task(book, task, worker)
-        book.end(task, kind, 2.0)
+        run_task(cluster, task, worker)
+        cluster.end_run(task, kind, 2.0)
         assert job.state is JobState.RUNNING
-    run_task(book, task, worker)
-    book.end(task, EndKind.FAILED, 3.0)
+    run_task(cluster, task, worker)
+    cluster.end_run(task, EndKind.FAILED, 3.0)
     assert job.state is JobState.FAILED
-    assert not book.ready
+    assert not cluster.ready
 
 
 def test_a_task_that_lasts_comes_back_however_it_ends() -> None:
-    book = Book()
-    job = admit(book, make_job('a', make_step(lasting=True)))
-    worker = add_worker(book, 'w')
-    task = find_task(book, 'a')
+    cluster = ClusterState()
+    job = admit(cluster, make_job('a', make_step(lasting=True)))
+    worker = add_worker(cluster, 'w')
+    task = find_task(cluster, 'a')
     for kind in EndKind:
-        run_task(book, task, worker)
-        book.end(task, kind, 2.0)
-        assert task.id in book.ready
+        run_task(cluster, task, worker)
+        cluster.end_run(task, kind, 2.0)
+        assert task.id in cluster.ready
     assert job.state is JobState.RUNNING
 
 
 def test_a_job_runs_once_a_worker_has_begun_it() -> None:
     """A job was shown as running while its start was still on its way."""
-    book = Book()
-    job = admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    book.place([task], add_worker(book, 'w'), 1.0)
+    cluster = ClusterState()
+    job = admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    cluster.place([task], add_worker(cluster, 'w'), 1.0)
     assert job.state.value == 'queued'
-    assert hand_over(book).jobs['a'].state is JobState.QUEUED
-    book.dirty.clear()
-    book.confirm(task, task.run, 2.0)
+    assert hand_over(cluster).jobs['a'].state is JobState.QUEUED
+    cluster.dirty.clear()
+    cluster.confirm_start(task, task.run, 2.0)
     assert job.state.value == 'running'
-    assert 'a' in book.dirty
-    assert hand_over(book).count_pending() == {'queue': 0}
+    assert 'a' in cluster.dirty
+    assert hand_over(cluster).count_pending() == {'queue': 0}
 
 
 def test_what_is_being_stopped_takes_room_until_its_end_is_listed() -> None:
-    book = Book()
-    admit(book, make_job('a', make_step(count=4, demand=make_step().demand)))
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    admit(cluster, make_job('a', make_step(count=4, demand=make_step().demand)))
+    worker = add_worker(cluster, 'w')
     for index in range(4):
-        run_task(book, find_task(book, 'a', 0, index), worker)
-    stopping = book.cancel('a', 2.0)
+        run_task(cluster, find_task(cluster, 'a', 0, index), worker)
+    stopping = cluster.cancel('a', 2.0)
     assert len(stopping) == 4
     assert not worker.fits(make_step().demand)
     ends = tuple(
         make_end(n + 1, task, 1, EndKind.STOPPED)
         for n, task in enumerate(stopping)
     )
-    Reconciler(book).take_look(worker, make_look(ended=ends), 2.0, 2.0)
+    Reconciler(cluster).take_look(worker, make_look(ended=ends), 2.0, 2.0)
     assert worker.fits(make_step().demand)
 
 
@@ -150,12 +150,12 @@
 
 def test_an_end_that_was_written_counts_once() -> None:
     """A failure counted again by the next owner used up both attempts."""
-    book = Book()
-    admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    run_task(book, task, add_worker(book, 'w'))
-    book.end(task, EndKind.FAILED, 2.0)
-    new = hand_over(book)
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, add_worker(cluster, 'w'))
+    cluster.end_run(task, EndKind.FAILED, 2.0)
+    new = hand_over(cluster)
     worker = add_worker(new, 'w')
     ended = make_end(1, task, 1, EndKind.FAILED)
     Reconciler(new).take_look(worker, make_look(ended=(ended,)), 5.0, 5.0)
@@ -179,26 +179,26 @@
 
 def test_a_task_done_before_its_leases_ran_out_stays_done() -> None:
     """A task that a cut-off worker had finished ran again."""
-    book = Book()
-    admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    worker = add_worker(book, 'w')
-    run_task(book, task, worker)
-    book.lapse(worker, 9.0)
-    assert task.id in book.ready
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    worker = add_worker(cluster, 'w')
+    run_task(cluster, task, worker)
+    cluster.end_worker_tasks(worker, 9.0)
+    assert task.id in cluster.ready
     ended = make_end(1, task, 1, EndKind.DONE)
-    Reconciler(book).take_look(worker, make_look(ended=(ended,)), 9.5, 9.5)
-    assert book.jobs['a'].state is JobState.COMPLETED
-    assert not book.ready
+    Reconciler(cluster).take_look(worker, make_look(ended=(ended,)), 9.5, 9.5)
+    assert cluster.jobs['a'].state is JobState.COMPLETED
+    assert not cluster.ready
 
 
 def test_the_next_run_number_is_higher_than_any_unwritten_one() -> None:
-    book = Book()
-    admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    run_task(book, task, add_worker(book, 'w'))
-    book.end(task, EndKind.STOPPED, 2.0)
-    new = hand_over(book)
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, add_worker(cluster, 'w'))
+    cluster.end_run(task, EndKind.STOPPED, 2.0)
+    new = hand_over(cluster)
     restored = find_task(new, 'a')
     new.place([restored], add_worker(new, 'w'), 6.0)
     assert restored.run > 2
@@ -206,46 +206,46 @@
 
 def test_a_list_older_than_a_start_does_not_end_it() -> None:
     """A run missing from an overtaken list was started again while it ran."""
-    book = Book()
-    admit(book, make_job('a'))
-    worker = add_worker(book, 'w')
-    task = find_task(book, 'a')
-    run_task(book, task, worker, now=5.0)
-    Reconciler(book).take_look(worker, make_look(), 4.9, 5.1)
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    worker = add_worker(cluster, 'w')
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, worker, now=5.0)
+    Reconciler(cluster).take_look(worker, make_look(), 4.9, 5.1)
     assert task.phase is TaskPhase.RUNNING
-    news = Reconciler(book).take_look(worker, make_look(), 5.2, 5.3)
+    news = Reconciler(cluster).take_look(worker, make_look(), 5.2, 5.3)
     assert news.ended == [(task, EndKind.LAPSED)]
-    assert task.id in book.ready
+    assert task.id in cluster.ready
 
 
 def test_a_stop_ahead_of_its_start_ends_the_task() -> None:
     """A start that arrives after its stop left the task waiting for its end."""
-    book = Book()
-    admit(book, make_job('a'))
-    worker = add_worker(book, 'w')
-    task = find_task(book, 'a')
-    book.place([task], worker, 1.0)
-    book.begin_stop(task)
-    Reconciler(book).take_look(worker, make_look(), 2.0, 2.0)
-    assert task.id not in book.ready
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    worker = add_worker(cluster, 'w')
+    task = find_task(cluster, 'a')
+    cluster.place([task], worker, 1.0)
+    cluster.begin_stop(task)
+    Reconciler(cluster).take_look(worker, make_look(), 2.0, 2.0)
+    assert task.id not in cluster.ready
     task.stopped_at = 2.5
-    Reconciler(book).take_look(worker, make_look(), 3.0, 3.0)
-    assert task.id in book.ready
+    Reconciler(cluster).take_look(worker, make_look(), 3.0, 3.0)
+    assert task.id in cluster.ready
 
 
 def test_what_runs_of_a_cancelled_job_is_stopped() -> None:
     """A start is carried out late, after its job was cancelled."""
-    book = Book()
-    admit(book, make_job('a'))
-    worker = add_worker(book, 'w')
-    task = find_task(book, 'a')
-    book.place([task], worker, 1.0)
-    book.cancel('a', 2.0)
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    worker = add_worker(cluster, 'w')
+    task = find_task(cluster, 'a')
+    cluster.place([task], worker, 1.0)
+    cluster.cancel('a', 2.0)
     task.stopped_at = 1.5
-    Reconciler(book).take_look(worker, make_look(), 2.0, 2.0)
+    Reconciler(cluster).take_look(worker, make_look(), 2.0, 2.0)
     assert not worker.tasks
     running = make_running(task, 1)
-    news = Reconciler(book).take_look(
+    news = Reconciler(cluster).take_look(
         worker, make_look(running=(running,)), 4.0, 4.0
     )
     assert news.adopted == [task]
@@ -253,27 +253,27 @@
 
 
 def test_a_second_copy_is_stopped() -> None:
-    book = Book()
-    admit(book, make_job('a'))
-    first = add_worker(book, 'first')
-    second = add_worker(book, 'second')
-    task = find_task(book, 'a')
+    cluster = ClusterState()
+    admit(cluster, make_job('a'))
+    first = add_worker(cluster, 'first')
+    second = add_worker(cluster, 'second')
+    task = find_task(cluster, 'a')
     task.run = 3
-    run_task(book, task, first)
+    run_task(cluster, task, first)
     old = make_running(task, 2)
-    news = Reconciler(book).take_look(
+    news = Reconciler(cluster).take_look(
         second, make_look(running=(old,)), 2.0, 2.0
     )
     assert news.strays == [Stray('second', str(task.id), 2)]
 
 
 def test_a_worker_that_runs_something_unknown_is_opaque() -> None:
-    book = Book()
-    other = Book()
+    cluster = ClusterState()
+    other = ClusterState()
     admit(other, make_job('b'))
-    worker = add_worker(book, 'w')
+    worker = add_worker(cluster, 'w')
     running = make_running(find_task(other, 'b'), 1)
-    news = Reconciler(book).take_look(
+    news = Reconciler(cluster).take_look(
         worker, make_look(running=(running,)), 1.0, 1.0
     )
     assert news.unknown == [running.task]
@@ -282,65 +282,65 @@
 
 def test_inherited_tasks_wait_while_starts_may_be_unwritten() -> None:
     """Tasks started unwritten in an outage ran twice under the next owner."""
-    book = Book()
-    admit(book, make_job('old'))
-    admit(book, make_job('new'))
-    add_worker(book, 'near')
-    cut = add_worker(book, 'cut')
+    cluster = ClusterState()
+    admit(cluster, make_job('old'))
+    admit(cluster, make_job('new'))
+    add_worker(cluster, 'near')
+    cut = add_worker(cluster, 'cut')
     cut.reached = False
-    doubt = Inheritance(book, False, 17.0, frozenset({'old'}))
+    doubt = Inheritance(cluster, False, 17.0, frozenset({'old'}))
     assert doubt.is_in_doubt(10.0)
-    assert doubt.holds(find_task(book, 'old'))
-    assert not doubt.holds(find_task(book, 'new'))
+    assert doubt.holds(find_task(cluster, 'old'))
+    assert not doubt.holds(find_task(cluster, 'new'))
     assert not doubt.is_in_doubt(17.1)
     cut.reached = True
     assert not doubt.is_in_doubt(10.0)
     cut.reached = False
-    assert not Inheritance(book, True, 17.0, frozenset()).is_in_doubt(10.0)
+    assert not Inheritance(cluster, True, 17.0, frozenset()).is_in_doubt(10.0)
 
 
 def test_one_end_of_a_gang_stands_for_all() -> None:
-    book = Book()
-    job = admit(book, make_job('a', make_step(count=3, gang=True)))
-    worker = add_worker(book, 'w')
-    members = [find_task(book, 'a', 0, index) for index in range(3)]
-    book.place(members, worker, 1.0)
+    cluster = ClusterState()
+    job = admit(cluster, make_job('a', make_step(count=3, gang=True)))
+    worker = add_worker(cluster, 'w')
+    members = [find_task(cluster, 'a', 0, index) for index in range(3)]
+    cluster.place(members, worker, 1.0)
     for member in members:
-        book.confirm(member, member.run, 1.0)
+        cluster.confirm_start(member, member.run, 1.0)
     for member in members:
-        book.end(member, EndKind.DONE, 2.0)
+        cluster.end_run(member, EndKind.DONE, 2.0)
     assert job.state is JobState.COMPLETED
 
 
 def test_a_gang_fails_after_its_attempts_in_all() -> None:
-    book = Book()
+    cluster = ClusterState()
     spec = make_job(
         'a', make_step(count=2, gang=True), policy=make_policy(max_attempts=2)
     )
-    job = admit(book, spec)
-    worker = add_worker(book, 'w')
-    members = [find_task(book, 'a', 0, index) for index in range(2)]
+    job = admit(cluster, spec)
+    worker = add_worker(cluster, 'w')
+    members = [find_task(cluster, 'a', 0, index) for index in range(2)]
     for failing in members:
-        book.place(members, worker, 1.0)
+        cluster.place(members, worker, 1.0)
         for member in members:
             kind = EndKind.FAILED if member is failing else EndKind.BROKEN
-            book.end(member, kind, 2.0)
+            cluster.end_run(member, kind, 2.0)
     assert job.state is JobState.FAILED
 
 
 def test_a_row_of_many_tasks_is_short_and_tells_the_same() -> None:
     """Rows of wide jobs were over a third of what an owner sends."""
-    book = Book()
-    admit(book, make_job('a', make_step(count=80), make_step(after=(0,))))
-    worker = add_worker(book, 'i-40bb3c7090')
-    tasks = [find_task(book, 'a', 0, index) for index in range(80)]
+    cluster = ClusterState()
+    admit(cluster, make_job('a', make_step(count=80), make_step(after=(0,))))
+    worker = add_worker(cluster, 'i-40bb3c7090')
+    tasks = [find_task(cluster, 'a', 0, index) for index in range(80)]
     for task in tasks[:60]:
-        run_task(book, task, worker)
+        run_task(cluster, task, worker)
     for task in tasks[:30] + tasks[35:45]:
-        book.end(task, EndKind.DONE, 2.0)
-    book.end(tasks[50], EndKind.FAILED, 2.0)
+        cluster.end_run(task, EndKind.DONE, 2.0)
+    cluster.end_run(tasks[50], EndKind.FAILED, 2.0)
     tasks[51].checkpoint = '00000bb87a21d94b'
-    new = hand_over(book)
+    new = hand_over(cluster)
     found = [find_task(new, 'a', 0, index) for index in range(80)]
     for known, task in zip(tasks, found, strict=True):
         assert (task.run, task.failed_runs, task.checkpoint) == (
@@ -351,19 +351,19 @@
         assert (task.phase, task.worker) == (known.phase, known.worker)
     # 13 bytes went to each task that is done, and 6 to usual values of each
     # that runs: 1,245 in all.
-    assert len(orjson.dumps(encode_state(book.jobs['a']))) < 650
+    assert len(orjson.dumps(encode_state(cluster.jobs['a']))) < 650
 
 
 def test_a_row_of_an_earlier_version_is_read() -> None:
     """Hosts get a new version one by one; its owner reads the old rows."""
-    book = Book()
-    job = admit(book, make_job('a', make_step(count=2)))
+    cluster = ClusterState()
+    job = admit(cluster, make_job('a', make_step(count=2)))
     body = {
         'state': 'running',
         'tasks': {'0.0.0': 'done', '0.0.1': [3, 'w', [2], 'saved']},
     }
-    restore_state(book, job, body, lapses_at=20.0, now=4.0)
-    first, second = (find_task(book, 'a', 0, index) for index in range(2))
+    restore_state(cluster, job, body, lapses_at=20.0, now=4.0)
+    first, second = (find_task(cluster, 'a', 0, index) for index in range(2))
     assert first.phase is TaskPhase.DONE
     assert (second.run, second.worker, second.failed_runs) == (3, 'w', {2})
     assert second.checkpoint == 'saved'
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -20,7 +20,7 @@
 from lentilmount.platform.store import PlatformTable
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import JobState, Task
 from lentilmount.scheduling.sharing import Sharing
 from lentilmount.upstream.http import HttpCaller
@@ -65,7 +65,7 @@
     table: PlatformTable,
     keeper: LeaseKeeper,
     lease: Lease,
-    book: Book,
+    cluster: ClusterState,
     links: dict[str, Link],
     send: Callable[[Task], None],
 ) -> Commits:
@@ -74,13 +74,13 @@
         table,
         keeper,
         lease,
-        book,
+        cluster,
         Sharing(),
         links,
         ManualClock(),
         send,
         print,
-        Retention('desk', book, 120.0),
+        Retention('desk', cluster, 120.0),
         lambda jobs: None,
     )
 
@@ -93,15 +93,15 @@
         keeper = LeaseKeeper(table, 'a', 2.0, ManualClock().monotonic)
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
-        book = Book()
-        commits = _make_commits(table, keeper, lease, book, {}, print)
-        job = admit(book, make_job('a'))
+        cluster = ClusterState()
+        commits = _make_commits(table, keeper, lease, cluster, {}, print)
+        job = admit(cluster, make_job('a'))
         with logbook.TestHandler() as handler:
             running = asyncio.create_task(commits.run())
             for _ in range(2):
-                book.finish(job, JobState.FAILED, 7.5)
+                cluster.finish_job(job, JobState.FAILED, 7.5)
                 commits.note_change()
-                while book.dirty:
+                while cluster.dirty:
                     await asyncio.sleep(0.01)
             running.cancel()
             return [r.extra for r in handler.records if 'took' in r.extra]
@@ -122,19 +122,19 @@
         keeper = LeaseKeeper(table, 'a', 2.0, clock.monotonic)
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
-        book = Book()
-        worker = add_worker(book, 'w')
-        admit(book, make_job('a', make_step(count=2)))
-        first, second = (find_task(book, 'a', 0, n) for n in range(2))
+        cluster = ClusterState()
+        worker = add_worker(cluster, 'w')
+        admit(cluster, make_job('a', make_step(count=2)))
+        first, second = (find_task(cluster, 'a', 0, n) for n in range(2))
         sent: list[Task] = []
-        commits = _make_commits(table, keeper, lease, book, {}, sent.append)
+        commits = _make_commits(table, keeper, lease, cluster, {}, sent.append)
         slow.gate.clear()
         slow.begun.clear()
-        book.place([first], worker, 1.0)
+        cluster.place([first], worker, 1.0)
         commits.add_start(first)
         running = asyncio.create_task(commits.run())
         await slow.begun.wait()
-        book.place([second], worker, 1.0)
+        cluster.place([second], worker, 1.0)
         commits.add_start(second)
         slow.begun.clear()
         slow.gate.set()
@@ -153,12 +153,12 @@
 class _BusyTable(_SlowTable):
     """Has all jobs of a book change again with each write."""
 
-    book: Book
+    cluster: ClusterState
 
     async def transact(self, token: str, operations: list[Operation]) -> int:
         version = await super().transact(token, operations)
-        for job_id in self.book.jobs:
-            self.book.dirty[job_id] = None
+        for job_id in self.cluster.jobs:
+            self.cluster.dirty[job_id] = None
         # Others run meanwhile, as they do beside a real call.
         await asyncio.sleep(0)
         return version
@@ -173,20 +173,20 @@
     async def play() -> None:
         table = cast(PlatformTable, _BusyTable())
         busy = cast(_BusyTable, table)
-        busy.book = book = Book()
+        busy.cluster = cluster = ClusterState()
         clock = ManualClock()
         keeper = LeaseKeeper(table, 'a', 2.0, clock.monotonic)
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
-        worker = add_worker(book, 'w')
+        worker = add_worker(cluster, 'w')
         for number in range(3 * COMMIT_ROWS):
-            admit(book, make_job(f'job-{number}'))
-            book.dirty[f'job-{number}'] = None
+            admit(cluster, make_job(f'job-{number}'))
+            cluster.dirty[f'job-{number}'] = None
         calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-        link = Link(worker, book, calls, NoEvents(), 6.0, clock.monotonic)
+        link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
         link.received = 7
         links = {'w': link}
-        commits = _make_commits(table, keeper, lease, book, links, print)
+        commits = _make_commits(table, keeper, lease, cluster, links, print)
         commits.note_change()
         running = asyncio.create_task(commits.run())
         while busy.version < WRITES and not link.written:
@@ -209,12 +209,14 @@
         keeper = LeaseKeeper(table, 'a', 2.0, clock.monotonic)
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
-        book = Book()
-        worker = add_worker(book, 'w')
+        cluster = ClusterState()
+        worker = add_worker(cluster, 'w')
         calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-        link = Link(worker, book, calls, NoEvents(), 6.0, clock.monotonic)
+        link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
         link.received = 7
-        commits = _make_commits(table, keeper, lease, book, {'w': link}, print)
+        commits = _make_commits(
+            table, keeper, lease, cluster, {'w': link}, print
+        )
         slow.gate.clear()
         slow.begun.clear()
         commits.note_change()
@@ -243,13 +245,13 @@
         key = Key('owners/desk', 'owner')
         lease = await keeper.try_acquire(key)
         assert lease is not None
-        book = Book()
-        worker = add_worker(book, 'w', capacity=Room(999.0, 999_000))
-        commits = _make_commits(table, keeper, lease, book, {}, print)
+        cluster = ClusterState()
+        worker = add_worker(cluster, 'w', capacity=Room(999.0, 999_000))
+        commits = _make_commits(table, keeper, lease, cluster, {}, print)
         for number in range(COMMIT_ROWS + 1):
-            admit(book, make_job(f'job-{number}'))
-            task = find_task(book, f'job-{number}')
-            book.place([task], worker, 1.0)
+            admit(cluster, make_job(f'job-{number}'))
+            task = find_task(cluster, f'job-{number}')
+            cluster.place([task], worker, 1.0)
             commits.add_start(task)
         commits.send_unwritten()
         told: list[bool] = []
@@ -274,14 +276,14 @@
         keeper = LeaseKeeper(table, 'a', 2.0, ManualClock().monotonic)
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
-        book, sent = Book(), cast(list[Task], [])
-        commits = _make_commits(table, keeper, lease, book, {}, sent.append)
-        worker = add_worker(book, 'w')
-        admit(book, make_job('a'))
-        first = find_task(book, 'a')
+        cluster, sent = ClusterState(), cast(list[Task], [])
+        commits = _make_commits(table, keeper, lease, cluster, {}, sent.append)
+        worker = add_worker(cluster, 'w')
+        admit(cluster, make_job('a'))
+        first = find_task(cluster, 'a')
         slow.gate.clear()
         slow.begun.clear()
-        book.place([first], worker, 1.0)
+        cluster.place([first], worker, 1.0)
         commits.add_start(first)
         running = asyncio.create_task(commits.run())
         await slow.begun.wait()
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -19,7 +19,7 @@
     Verdict,
     WorkerCalls,
 )
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciling import News
 from lentilmount.scheduling.reports import Look, WorkerEntry
@@ -61,10 +61,12 @@
 def test_starts_to_a_worker_that_is_gone_do_not_renew_its_leases() -> None:
     """Repeated starts to a lost worker kept its tasks away for good."""
     clock = ManualClock()
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-    link = Link(worker, book, calls, NoEvents(), LEASE_SECONDS, clock.monotonic)
+    link = Link(
+        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    )
     link.note_clock(1000)
     end = link.choose_lease_end()
     lapses_at = worker.lapses_at
@@ -138,23 +140,26 @@
 def open_pending(group: asyncio.TaskGroup, promise_seconds: float) -> Pending:
     """Gives a worker's first leases, and sends the start for ever."""
     clock = ManualClock()
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('lasts', make_step(lasting=True)))
-    admit(book, make_job('starts'))
-    lasting, starting = find_task(book, 'lasts'), find_task(book, 'starts')
-    run_task(book, lasting, worker, clock.monotonic())
-    book.place([starting], worker, clock.monotonic())
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('lasts', make_step(lasting=True)))
+    admit(cluster, make_job('starts'))
+    lasting, starting = (
+        find_task(cluster, 'lasts'),
+        find_task(cluster, 'starts'),
+    )
+    run_task(cluster, lasting, worker, clock.monotonic())
+    cluster.place([starting], worker, clock.monotonic())
     events = Promise(clock, clock.monotonic() + promise_seconds)
     calls = SilentCalls(clock)
-    link = Link(worker, book, calls, events, LEASE_SECONDS, clock.monotonic)
+    link = Link(worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic)
     link.note_clock(CLOCK_MS)
 
     def start_task(work: Coroutine[Any, Any, None]) -> None:
         group.create_task(work)
 
     orders = Orders(
-        book,
+        cluster,
         calls,
         {worker.id: link},
         events,
@@ -203,12 +208,14 @@
 def test_a_start_does_not_end_the_leases_of_the_owner_before() -> None:
     """What an owner before had started ran twice beside a worker's start."""
     clock = ManualClock()
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     worker.lapses_at = clock.monotonic() + LEASE_SECONDS
     inherited = worker.lapses_at
     calls = SilentCalls(clock)
-    link = Link(worker, book, calls, NoEvents(), LEASE_SECONDS, clock.monotonic)
+    link = Link(
+        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    )
     link.note_clock(CLOCK_MS)
     link.choose_start_deadline()
     assert worker.lapses_at >= inherited
@@ -219,13 +226,15 @@
 
     async def play() -> None:
         clock = ManualClock()
-        book = Book()
-        worker = add_worker(book, 'w')
+        cluster = ClusterState()
+        worker = add_worker(cluster, 'w')
         worker.reached = worker.reachable = False
         calls = SilentCalls(clock)
         calls.looks.append(make_look())
         events = Promise(clock, clock.monotonic())
-        link = Link(worker, book, calls, events, LEASE_SECONDS, clock.monotonic)
+        link = Link(
+            worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+        )
         begun_at = clock.monotonic()
         keeping = asyncio.create_task(link.run())
         while not worker.reached:
@@ -241,18 +250,20 @@
 
     async def play() -> None:
         clock = ManualClock()
-        book = Book()
-        worker = add_worker(book, 'w')
-        admit(book, make_job('lasts', make_step(lasting=True)))
-        lasting = find_task(book, 'lasts')
+        cluster = ClusterState()
+        worker = add_worker(cluster, 'w')
+        admit(cluster, make_job('lasts', make_step(lasting=True)))
+        lasting = find_task(cluster, 'lasts')
         lasting.run = 1
-        book.restore_placed(lasting, worker)
+        cluster.restore_placed(lasting, worker)
         worker.lapses_at = clock.monotonic() + LEASE_SECONDS
         inherited = worker.lapses_at
         calls = SilentCalls(clock)
         calls.looks.append(make_look((make_running(lasting, 1),)))
         events = Promise(clock, clock.monotonic())
-        link = Link(worker, book, calls, events, LEASE_SECONDS, clock.monotonic)
+        link = Link(
+            worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+        )
         keeping = asyncio.create_task(link.run())
         while not events.lapsed:
             await asyncio.sleep(0.01)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -11,7 +11,7 @@
 from lentilmount.clock import ManualClock
 from lentilmount.control.links import Link
 from lentilmount.platform.workers import WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import list_remaining, shorten_leases
 from lentilmount.scheduling.model import Worker
 from lentilmount.upstream.http import HttpCaller
@@ -82,15 +82,17 @@
     run(play())
 
 
-def make_placed(reachable: bool, lapses_at: float) -> tuple[Book, Worker]:
+def make_placed(
+    reachable: bool, lapses_at: float
+) -> tuple[ClusterState, Worker]:
     """Returns a book with a task on a worker."""
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('job'))
-    run_task(book, find_task(book, 'job'), worker)
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('job'))
+    run_task(cluster, find_task(cluster, 'job'), worker)
     worker.reachable = reachable
     worker.lapses_at = lapses_at
-    return book, worker
+    return cluster, worker
 
 
 @pytest.mark.parametrize('reachable', [True, False])
@@ -110,24 +112,26 @@
 def test_a_renewal_on_its_way_is_told() -> None:
     """A worker that carries it out late runs on for the whole lease."""
     clock = ManualClock()
-    book, worker = make_placed(True, 0.0)
+    cluster, worker = make_placed(True, 0.0)
     calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-    link = Link(worker, book, calls, NoEvents(), LEASE_SECONDS, clock.monotonic)
+    link = Link(
+        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    )
     link.note_clock(1000)
     link.choose_lease_end()
     clock.advance(2.0)
     link.choose_lease_end()
-    told = list_remaining(book, clock.monotonic())
+    told = list_remaining(cluster, clock.monotonic())
     assert told['w'] >= LEASE_SECONDS
 
 
 def test_what_was_told_only_shortens_the_wait_for_a_worker_not_heard() -> None:
-    book, worker = make_placed(False, 15.0)
+    cluster, worker = make_placed(False, 15.0)
     worker.reached = False
-    shorten_leases(book, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
+    shorten_leases(cluster, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
     assert worker.lapses_at == 10.0 + 3.0 * 1.1
-    shorten_leases(book, {'w': 30.0}, 0.1, 10.0)
+    shorten_leases(cluster, {'w': 30.0}, 0.1, 10.0)
     assert worker.lapses_at == 10.0 + 3.0 * 1.1
     worker.reached = True
-    shorten_leases(book, {'w': 0.0}, 0.1, 10.0)
+    shorten_leases(cluster, {'w': 0.0}, 0.1, 10.0)
     assert worker.lapses_at == 10.0 + 3.0 * 1.1
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.headroom import AVERAGE_SECONDS, KEEP_SECONDS
 from lentilmount.scheduling.placing import Placer
 from lentilmount.scheduling.reports import EndKind
@@ -36,77 +36,79 @@
 
 def test_urgent_work_goes_before_lasting_tasks_that_wait() -> None:
     """A lasting task took the core that a job of a second needed at once."""
-    book = Book()
-    add_worker(book, 'w', capacity=Room(4.0, 16_000))
-    admit(book, make_job('lasting', LASTING))
+    cluster = ClusterState()
+    add_worker(cluster, 'w', capacity=Room(4.0, 16_000))
+    admit(cluster, make_job('lasting', LASTING))
     urgent = make_policy(stretch=9.0)
-    admit(book, make_job('urgent', URGENT, policy=urgent))
-    placer = Placer(book, Sharing())
+    admit(cluster, make_job('urgent', URGENT, policy=urgent))
+    placer = Placer(cluster, Sharing())
     assert place_all(placer, 5.0) == ['urgent']
 
 
 def test_a_late_job_does_not_go_before_lasting_tasks() -> None:
-    book = Book()
-    add_worker(book, 'w', capacity=Room(4.0, 16_000))
-    admit(book, make_job('lasting', LASTING))
-    admit(book, make_job('late', URGENT))
-    assert place_all(Placer(book, Sharing()), 5.0) == ['lasting']
+    cluster = ClusterState()
+    add_worker(cluster, 'w', capacity=Room(4.0, 16_000))
+    admit(cluster, make_job('lasting', LASTING))
+    admit(cluster, make_job('late', URGENT))
+    assert place_all(Placer(cluster, Sharing()), 5.0) == ['lasting']
 
 
 def test_lasting_tasks_leave_room_to_urgent_work_for_a_while() -> None:
     """Lost lasting tasks took each gap before the next urgent job came."""
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(6.0, 64_000))
-    admit(book, make_job('lasting', LASTING))
-    lasting = find_task(book, 'lasting')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(6.0, 64_000))
+    admit(cluster, make_job('lasting', LASTING))
+    lasting = find_task(cluster, 'lasting')
     policy = make_policy(stretch=99.0)
-    placer = Placer(book, Sharing())
-    run_task(book, lasting, worker)
+    placer = Placer(cluster, Sharing())
+    run_task(cluster, lasting, worker)
     # Urgent work keeps the two cores beside it busy.
     now = 0.0
     while now < 3 * AVERAGE_SECONDS:
-        job = admit(book, make_job(f'urgent-{now:.1f}', URGENT, policy=policy))
+        job = admit(
+            cluster, make_job(f'urgent-{now:.1f}', URGENT, policy=policy)
+        )
         job.accepted_at = now
         place_all(placer, now)
         for task in list(worker.tasks.values()):
             if task is not lasting:
-                book.confirm(task, task.run, now)
-                book.end(task, EndKind.DONE, now)
+                cluster.confirm_start(task, task.run, now)
+                cluster.end_run(task, EndKind.DONE, now)
         now += PASS_SECONDS
-    book.end(lasting, EndKind.FAILED, now)
+    cluster.end_run(lasting, EndKind.FAILED, now)
     assert 'lasting' not in place_all(placer, now + PASS_SECONDS)
     assert 'lasting' in place_all(placer, now + KEEP_SECONDS)
 
 
 def test_without_urgent_work_a_lasting_task_is_placed_at_once() -> None:
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(6.0, 64_000))
-    admit(book, make_job('lasting', LASTING))
-    lasting = find_task(book, 'lasting')
-    run_task(book, lasting, worker)
-    book.end(lasting, EndKind.FAILED, 9.0)
-    assert place_all(Placer(book, Sharing()), 9.1) == ['lasting']
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(6.0, 64_000))
+    admit(cluster, make_job('lasting', LASTING))
+    lasting = find_task(cluster, 'lasting')
+    run_task(cluster, lasting, worker)
+    cluster.end_run(lasting, EndKind.FAILED, 9.0)
+    assert place_all(Placer(cluster, Sharing()), 9.1) == ['lasting']
 
 
 def test_a_lost_lasting_task_is_back_beside_urgent_work() -> None:
     """Urgent tasks took each gap before it was large enough for a lost one."""
-    book = Book()
+    cluster = ClusterState()
     workers = [
-        add_worker(book, name, capacity=Room(4.0, 64_000)) for name in 'ab'
+        add_worker(cluster, name, capacity=Room(4.0, 64_000)) for name in 'ab'
     ]
-    admit(book, make_job('lasting', LASTING))
-    lasting = find_task(book, 'lasting')
-    run_task(book, lasting, workers[0])
+    admit(cluster, make_job('lasting', LASTING))
+    lasting = find_task(cluster, 'lasting')
+    run_task(cluster, lasting, workers[0])
     policy = make_policy(stretch=99.0)
-    placer = Placer(book, Sharing())
+    placer = Placer(cluster, Sharing())
     lost_at = 2.0
-    book.end(lasting, EndKind.FAILED, lost_at)
+    cluster.end_run(lasting, EndKind.FAILED, lost_at)
     for number in range(round(BACK_SECONDS / PASS_SECONDS)):
         now = lost_at + number * PASS_SECONDS
         # Always more than there is room for, and it can be in time.
-        while sum(task is not lasting for task in book.ready.values()) < 5:
-            name = f'urgent-{len(book.jobs)}'
-            job = admit(book, make_job(name, URGENT, policy=policy))
+        while sum(task is not lasting for task in cluster.ready.values()) < 5:
+            name = f'urgent-{len(cluster.jobs)}'
+            job = admit(cluster, make_job(name, URGENT, policy=policy))
             job.accepted_at = now
         placed = place_all(placer, now)
         if 'lasting' in placed:
@@ -114,6 +116,6 @@
         for worker in workers:
             for task in list(worker.tasks.values()):
                 if now - task.placed_at >= URGENT.estimated_seconds:
-                    book.confirm(task, task.run, now)
-                    book.end(task, EndKind.DONE, now)
+                    cluster.confirm_start(task, task.run, now)
+                    cluster.end_run(task, EndKind.DONE, now)
     raise AssertionError('the lasting task is not back')
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.holds import HOLD_SECONDS, MOST_HELD, Holds
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.placing import Placer
@@ -30,74 +30,76 @@
 AWAY_AT = LOST_AT + AWAY_SECONDS
 
 
-def fill(book: Book, worker: Worker, name: str, lasting: bool) -> None:
+def fill(
+    cluster: ClusterState, worker: Worker, name: str, lasting: bool
+) -> None:
     """Leaves a worker one core, beside a task that is short or lasts."""
     step = make_step(demand=Room(3.0, 1000), lasting=lasting)
-    admit(book, make_job(name, step))
-    run_task(book, find_task(book, name), worker)
+    admit(cluster, make_job(name, step))
+    run_task(cluster, find_task(cluster, name), worker)
 
 
-def lose(book: Book, name: str) -> Task:
+def lose(cluster: ClusterState, name: str) -> Task:
     """Makes a lasting task that has run on a worker that is gone."""
-    gone = add_worker(book, f'gone-{name}', capacity=Room(4.0, 64_000))
-    admit(book, make_job(name, LASTING))
-    task = find_task(book, name)
-    run_task(book, task, gone)
-    book.end(task, EndKind.FAILED, LOST_AT)
+    gone = add_worker(cluster, f'gone-{name}', capacity=Room(4.0, 64_000))
+    admit(cluster, make_job(name, LASTING))
+    task = find_task(cluster, name)
+    run_task(cluster, task, gone)
+    cluster.end_run(task, EndKind.FAILED, LOST_AT)
     gone.present = False
     return task
 
 
-def list_views(book: Book) -> list[WorkerView]:
+def list_views(cluster: ClusterState) -> list[WorkerView]:
     """Lists the workers that take work."""
-    return Views(book, Sharing()).list_open(AWAY_AT)
+    return Views(cluster, Sharing()).list_open(AWAY_AT)
 
 
 def test_a_held_worker_takes_nothing_else() -> None:
     """Urgent work took what had become free for a lost lasting task."""
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(4.0, 64_000))
-    fill(book, worker, 'short', lasting=False)
-    lost = lose(book, 'lost')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
+    fill(cluster, worker, 'short', lasting=False)
+    lost = lose(cluster, 'lost')
     urgent = make_step(demand=Room(1.0, 1000))
     policy = make_policy(stretch=99.0)
-    admit(book, make_job('urgent', urgent, policy=policy))
-    placer = Placer(book, Sharing())
+    admit(cluster, make_job('urgent', urgent, policy=policy))
+    placer = Placer(cluster, Sharing())
     assert run_pass(placer, AWAY_AT) == []
-    short = find_task(book, 'short')
-    book.end(short, EndKind.DONE, AWAY_AT)
+    short = find_task(cluster, 'short')
+    cluster.end_run(short, EndKind.DONE, AWAY_AT)
     placed = run_pass(placer, AWAY_AT + 0.1)
     assert placed == [(lost, worker)]
 
 
 def test_no_worker_is_held_where_others_last() -> None:
     """A worker that never has room for the task idled beside what lasts."""
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(4.0, 64_000))
-    fill(book, worker, 'other', lasting=True)
-    lost = lose(book, 'lost')
-    assert Holds().hold(lost, list_views(book), AWAY_AT) is None
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
+    fill(cluster, worker, 'other', lasting=True)
+    lost = lose(cluster, 'lost')
+    assert Holds().hold(lost, list_views(cluster), AWAY_AT) is None
 
 
 def test_no_worker_is_held_for_a_task_that_has_room() -> None:
     """A task that waits for advice kept a worker from all others."""
-    book = Book()
-    add_worker(book, 'w', capacity=Room(4.0, 64_000))
-    lost = lose(book, 'lost')
-    assert Holds().hold(lost, list_views(book), AWAY_AT) is None
+    cluster = ClusterState()
+    add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
+    lost = lose(cluster, 'lost')
+    assert Holds().hold(lost, list_views(cluster), AWAY_AT) is None
 
 
 def test_few_workers_are_held_at_once() -> None:
     """After the loss of a zone all others would have stood still."""
-    book = Book()
+    cluster = ClusterState()
     count = round(2 / MOST_HELD)
     for number in range(count):
         name = f'w-{number}'
-        worker = add_worker(book, name, capacity=Room(4.0, 64_000))
-        fill(book, worker, f'short-{number}', lasting=False)
-    lost = [lose(book, f'lost-{number}') for number in range(count)]
+        worker = add_worker(cluster, name, capacity=Room(4.0, 64_000))
+        fill(cluster, worker, f'short-{number}', lasting=False)
+    lost = [lose(cluster, f'lost-{number}') for number in range(count)]
     holds = Holds()
-    views = list_views(book)
+    views = list_views(cluster)
     held = [holds.hold(task, views, AWAY_AT) for task in lost]
     assert sum(view is not None for view in held) == 2
 
@@ -106,13 +108,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Choosing among all workers in each pass took an owner's processor."""
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(4.0, 64_000))
-    fill(book, worker, 'short', lasting=False)
-    lost = lose(book, 'lost')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
+    fill(cluster, worker, 'short', lasting=False)
+    lost = lose(cluster, 'lost')
     checks = record_checks(monkeypatch, 'takes')
     holds = Holds()
-    views = list_views(book)
+    views = list_views(cluster)
     for now in (AWAY_AT, AWAY_AT + HOLD_SECONDS / 2):
         holds.expire(now)
         view = holds.hold(lost, views, now)
@@ -126,14 +128,14 @@
 
 def test_a_hold_ends_with_its_task() -> None:
     """The worker of a cancelled job's task was kept from others for 2 s."""
-    book = Book()
-    worker = add_worker(book, 'w', capacity=Room(4.0, 64_000))
-    fill(book, worker, 'short', lasting=False)
-    cancelled, lost = lose(book, 'cancelled'), lose(book, 'lost')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
+    fill(cluster, worker, 'short', lasting=False)
+    cancelled, lost = lose(cluster, 'cancelled'), lose(cluster, 'lost')
     holds = Holds()
-    views = list_views(book)
+    views = list_views(cluster)
     assert holds.hold(cancelled, views, AWAY_AT) is not None
     assert holds.hold(lost, views, AWAY_AT) is None
-    book.cancel('cancelled', AWAY_AT)
+    cluster.cancel('cancelled', AWAY_AT)
     holds.expire(AWAY_AT)
     assert holds.hold(lost, views, AWAY_AT) is not None
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -12,7 +12,7 @@
 from lentilmount.coordination.transactions import make_token
 from lentilmount.platform.documents import encode_job
 from lentilmount.platform.store import PlatformTable
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from tests.fleet_scene import make_job
 from tests.helpers import run
 from tests.platform_scene import open_table
@@ -41,28 +41,28 @@
         async with open_table() as (_, table):
             await submit(table, 'desk', 'first')
             await submit(table, 'other', 'second')
-            book = Book()
+            cluster = ClusterState()
             arrived = asyncio.Event()
             cancelled: list[str] = []
             intake = Intake(
                 'desk',
                 table,
-                book,
+                cluster,
                 SystemClock(),
                 cancelled.append,
                 arrived.set,
             )
             await intake.load(1.0)
-            assert list(book.jobs) == ['first']
+            assert list(cluster.jobs) == ['first']
             following = asyncio.create_task(intake.follow())
             await submit(table, 'other', 'third')
             await cancel(table, 'other', 'second')
             await submit(table, 'desk', 'fourth')
             async with asyncio.timeout(WAIT_SECONDS):
-                while 'fourth' not in book.jobs:
+                while 'fourth' not in cluster.jobs:
                     await arrived.wait()
                     arrived.clear()
-            assert list(book.jobs) == ['first', 'fourth']
+            assert list(cluster.jobs) == ['first', 'fourth']
             assert cancelled == []
             following.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -141,21 +141,21 @@
 
 def test_only_workers_that_missed_a_look_are_told_as_silent() -> None:
     """A worker not asked yet may hold any lease of the owner before."""
-    book, worker = make_placed(False, 15.0)
-    assert list_silent(book, 12.0) == {}
+    cluster, worker = make_placed(False, 15.0)
+    assert list_silent(cluster, 12.0) == {}
     worker.is_missed = True
-    assert list_silent(book, 12.0) == {'w': 3.0}
+    assert list_silent(cluster, 12.0) == {'w': 3.0}
     worker.reachable = True
-    assert list_silent(book, 12.0) == {}
+    assert list_silent(cluster, 12.0) == {}
 
 
 def test_a_worker_told_as_silent_gets_no_lease_before_it_is_told_anew() -> None:
     """The next owner would start tasks that still ran under a renewed lease."""
     clock = ManualClock()
-    book, worker = make_placed(True, 0.0)
+    cluster, worker = make_placed(True, 0.0)
     link = Link(
         worker,
-        book,
+        cluster,
         _LostCalls(),
         NoEvents(),
         WORKER_LEASE_SECONDS,
@@ -163,12 +163,12 @@
     )
     link.note_clock(1000)
     end = link.choose_lease_end()
-    told = list_remaining(book, clock.monotonic())
+    told = list_remaining(cluster, clock.monotonic())
     worker.is_told_silent = True
     clock.advance(1.0)
     assert link.choose_lease_end() == end
     assert link.choose_start_deadline() == end
-    assert list_remaining(book, clock.monotonic())['w'] <= told['w'] - 1.0
+    assert list_remaining(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
     assert not is_open(worker, clock.monotonic())
     worker.is_told_silent = False
     assert link.choose_lease_end() > end
@@ -192,17 +192,17 @@
 
 def test_an_owner_in_doubt_tells_for_how_long() -> None:
     """An owner replaced while in doubt left a task that could run twice."""
-    book, worker = make_placed(False, 15.0)
+    cluster, worker = make_placed(False, 15.0)
     worker.reached = False
-    doubt = Inheritance(book, False, 17.0, frozenset({'job'}))
-    told = decode(describe(book, doubt, False, 12.0).encode(4), 4)
+    doubt = Inheritance(cluster, False, 17.0, frozenset({'job'}))
+    told = decode(describe(cluster, doubt, False, 12.0).encode(4), 4)
     assert told.is_unwritten
     assert told.doubt == 5.0
-    own = decode(describe(book, doubt, True, 12.0).encode(4), 4)
+    own = decode(describe(cluster, doubt, True, 12.0).encode(4), 4)
     assert own.is_unwritten
     assert own.doubt is None
     worker.reached = True
-    assert not describe(book, doubt, False, 12.0).is_unwritten
+    assert not describe(cluster, doubt, False, 12.0).is_unwritten
 
 
 def test_a_lease_of_which_no_write_was_seen_is_taken_in_doubt() -> None:
--- a/tests/test_link_pauses.py
+++ b/tests/test_link_pauses.py
@@ -11,7 +11,7 @@
 from lentilmount.control import links
 from lentilmount.control.links import Link
 from lentilmount.platform.workers import WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciling import News
 from lentilmount.scheduling.reports import Look, WorkerEntry
@@ -75,11 +75,11 @@
         await asyncio.sleep(0)
 
     monkeypatch.setattr(links, 'wait_briefly', note)
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     calls = _Calls()
     clock = ManualClock().monotonic
-    link = Link(worker, book, calls, _Events(renews), 6.0, clock)
+    link = Link(worker, cluster, calls, _Events(renews), 6.0, clock)
     link.received = 1
     running = asyncio.create_task(link.run())
     await calls.enough.wait()
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import (
     CLOSED_SECONDS,
     FAILING_JOBS,
@@ -34,107 +34,111 @@
 )
 
 
-def place(book: Book, now: float = 10.0) -> list[tuple[Task, Worker]]:
+def place(
+    cluster: ClusterState, now: float = 10.0
+) -> list[tuple[Task, Worker]]:
     """Runs one pass."""
-    return run_pass(Placer(book, Sharing()), now)
+    return run_pass(Placer(cluster, Sharing()), now)
 
 
 def test_a_worker_is_never_filled_beyond_its_capacity() -> None:
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('a', make_step(count=9)))
-    assert len(place(book)) == 4
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('a', make_step(count=9)))
+    assert len(place(cluster)) == 4
     assert worker.used == Room(8.0, 4000)
-    assert place(book) == []
+    assert place(cluster) == []
 
 
 def test_filling_tasks_take_memory_but_no_cores() -> None:
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('a', make_step(count=2, fills=True, image='f')))
-    assert len(place(book)) == 2
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('a', make_step(count=2, fills=True, image='f')))
+    assert len(place(cluster)) == 2
     assert worker.used == Room(0.0, 2000)
 
 
 def test_labels_and_bounds_per_worker_hold() -> None:
-    book = Book()
-    add_worker(book, 'plain')
-    special = add_worker(book, 'special', labels=('b', 'r1'))
-    admit(book, make_job('a', make_step(count=3, label='b', most_per_worker=2)))
-    assert [w for _, w in place(book)] == [special, special]
+    cluster = ClusterState()
+    add_worker(cluster, 'plain')
+    special = add_worker(cluster, 'special', labels=('b', 'r1'))
+    admit(
+        cluster, make_job('a', make_step(count=3, label='b', most_per_worker=2))
+    )
+    assert [w for _, w in place(cluster)] == [special, special]
 
 
 def test_leaving_silent_and_closed_workers_get_nothing() -> None:
-    book = Book()
-    add_worker(book, 'leaving', state=WorkerState.DRAINING)
-    add_worker(book, 'silent').reachable = False
-    add_worker(book, 'opaque').opaque = True
-    add_worker(book, 'closed').closed_until = 99.0
-    add_worker(book, 'gone').present = False
-    admit(book, make_job('a'))
-    assert place(book) == []
+    cluster = ClusterState()
+    add_worker(cluster, 'leaving', state=WorkerState.DRAINING)
+    add_worker(cluster, 'silent').reachable = False
+    add_worker(cluster, 'opaque').opaque = True
+    add_worker(cluster, 'closed').closed_until = 99.0
+    add_worker(cluster, 'gone').present = False
+    admit(cluster, make_job('a'))
+    assert place(cluster) == []
 
 
 def test_a_failed_task_tries_another_worker() -> None:
-    book = Book()
-    first = add_worker(book, 'first')
-    second = add_worker(book, 'second')
-    admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    run_task(book, task, first)
-    book.end(task, EndKind.FAILED, 2.0)
-    assert [w for _, w in place(book)] == [second]
+    cluster = ClusterState()
+    first = add_worker(cluster, 'first')
+    second = add_worker(cluster, 'second')
+    admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, first)
+    cluster.end_run(task, EndKind.FAILED, 2.0)
+    assert [w for _, w in place(cluster)] == [second]
 
 
 def test_what_fits_is_not_held_up_by_much_that_does_not() -> None:
     """Urgent jobs without room held up filling work, which needs none."""
-    book = Book()
-    add_worker(book, 'w')
+    cluster = ClusterState()
+    add_worker(cluster, 'w')
     for number in range(3 * FAILED_TRIES):
         step = make_step(demand=Room(9.0, 1000))
-        admit(book, make_job(f'urgent-{number}', step))
+        admit(cluster, make_job(f'urgent-{number}', step))
     low = make_policy(priority=2)
-    admit(book, make_job('low', make_step(fills=True), policy=low))
-    assert [task.id.job for task, _ in place(book)] == ['low']
+    admit(cluster, make_job('low', make_step(fills=True), policy=low))
+    assert [task.id.job for task, _ in place(cluster)] == ['low']
 
 
 def test_urgent_steps_of_all_sizes_do_not_hold_up_what_needs_no_room() -> None:
     """Forty sizes without a worker ended the pass before any filling work."""
-    book = Book()
-    add_worker(book, 'w')
+    cluster = ClusterState()
+    add_worker(cluster, 'w')
     for number in range(3 * FAILED_TRIES):
         # The next one asks for less, so the ones before say nothing of it.
         step = make_step(demand=Room(90.0 - number / 10, 1000))
-        admit(book, make_job(f'urgent-{number}', step))
+        admit(cluster, make_job(f'urgent-{number}', step))
     low = make_policy(priority=2)
-    admit(book, make_job('low', make_step(fills=True), policy=low))
-    assert [task.id.job for task, _ in place(book)] == ['low']
+    admit(cluster, make_job('low', make_step(fills=True), policy=low))
+    assert [task.id.job for task, _ in place(cluster)] == ['low']
 
 
 def test_lasting_steps_of_all_sizes_do_not_hold_up_a_small_one() -> None:
     """The largest goes first, and none spoke for the smaller ones after it."""
-    book = Book()
-    add_worker(book, 'w')
+    cluster = ClusterState()
+    add_worker(cluster, 'w')
     for number in range(3 * FAILED_TRIES):
         large = make_step(demand=Room(90.0 - number / 10, 1000), lasting=True)
-        admit(book, make_job(f'large-{number}', large))
+        admit(cluster, make_job(f'large-{number}', large))
     small = make_step(demand=Room(1.0, 1000), lasting=True)
-    admit(book, make_job('small', small))
-    assert [task.id.job for task, _ in place(book)] == ['small']
+    admit(cluster, make_job('small', small))
+    assert [task.id.job for task, _ in place(cluster)] == ['small']
 
 
 def test_a_larger_step_is_not_tried_after_a_smaller_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What finds no worker speaks for all that asks for more."""
-    book = Book()
-    add_worker(book, 'few-cores')
-    add_worker(book, 'little-memory', capacity=Room(99.0, 500))
+    cluster = ClusterState()
+    add_worker(cluster, 'few-cores')
+    add_worker(cluster, 'little-memory', capacity=Room(99.0, 500))
     for number in range(20):
         step = make_step(demand=Room(9.0 + number, 1000))
-        admit(book, make_job(f'urgent-{number:02}', step))
+        admit(cluster, make_job(f'urgent-{number:02}', step))
     checks = record_checks(monkeypatch, 'allows')
-    assert place(book) == []
+    assert place(cluster) == []
     assert checks == [
         ('few-cores', 'urgent-00'),
         ('little-memory', 'urgent-00'),
@@ -142,103 +146,104 @@
 
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
-    book = Book()
-    add_worker(book, 'w')
-    admit(book, make_job('a', make_step(count=5, gang=True)))
-    assert place(book) == []
+    cluster = ClusterState()
+    add_worker(cluster, 'w')
+    admit(cluster, make_job('a', make_step(count=5, gang=True)))
+    assert place(cluster) == []
     assert all(
         t.phase is TaskPhase.WAITING and t.run == 0
-        for t in book.jobs['a'].tasks.values()
+        for t in cluster.jobs['a'].tasks.values()
     )
-    add_worker(book, 'v')
-    placed = place(book)
+    add_worker(cluster, 'v')
+    placed = place(cluster)
     assert len(placed) == 5
     assert {task.run for task, _ in placed} == {1}
 
 
 def test_a_gang_of_one_rack_stays_on_it() -> None:
-    book = Book()
-    add_worker(book, 'a', labels=('a', 'r1'))
-    add_worker(book, 'b', labels=('a', 'r2'))
-    add_worker(book, 'c', labels=('a', 'r2'))
+    cluster = ClusterState()
+    add_worker(cluster, 'a', labels=('a', 'r1'))
+    add_worker(cluster, 'b', labels=('a', 'r2'))
+    add_worker(cluster, 'c', labels=('a', 'r2'))
     step = make_step(count=4, gang=True, same_rack=True)
-    admit(book, make_job('j', step))
-    racks = {worker.rack for _, worker in place(book)}
+    admit(cluster, make_job('j', step))
+    racks = {worker.rack for _, worker in place(cluster)}
     assert len(racks) == 1
 
 
 def test_data_draws_its_tasks() -> None:
-    book = Book()
-    add_worker(book, 'far', labels=('a', 'r1'))
-    near = add_worker(book, 'near', labels=('a', 'r2'))
-    admit(book, make_job('a', make_step(rack='r2')))
-    assert [w for _, w in place(book)] == [near]
+    cluster = ClusterState()
+    add_worker(cluster, 'far', labels=('a', 'r1'))
+    near = add_worker(cluster, 'near', labels=('a', 'r2'))
+    admit(cluster, make_job('a', make_step(rack='r2')))
+    assert [w for _, w in place(cluster)] == [near]
 
 
 def test_jobs_that_can_be_in_time_go_before_those_that_cannot() -> None:
     """By deadline alone a job that is late already makes the next one late."""
-    book = Book()
+    cluster = ClusterState()
     policy = make_policy(stretch=1.0, target_seconds=2.0)
-    late = admit(book, make_job('late', policy=policy))
+    late = admit(cluster, make_job('late', policy=policy))
     late.accepted_at = -10.0
-    fresh = admit(book, make_job('fresh', policy=policy))
-    order = [s[0].job for s in sort_steps(book.ready.values(), 1.0)]
+    fresh = admit(cluster, make_job('fresh', policy=policy))
+    order = [s[0].job for s in sort_steps(cluster.ready.values(), 1.0)]
     assert order == [fresh, late]
 
 
 def test_filling_work_that_is_begun_goes_on_before_more_is_begun() -> None:
     """Places shared by deadline made every best-effort job late."""
-    book = Book()
+    cluster = ClusterState()
     small = make_step(count=2, fills=True, image='f', after=())
     large = make_step(count=5, fills=True, image='f')
-    begun = admit(book, make_job('begun', large))
-    admit(book, make_job('large', large))
-    admit(book, make_job('small', small))
+    begun = admit(cluster, make_job('begun', large))
+    admit(cluster, make_job('large', large))
+    admit(cluster, make_job('small', small))
     due = make_policy(stretch=1.5)
-    admit(book, make_job('due', large, policy=due))
-    worker = add_worker(book, 'w')
-    run_task(book, find_task(book, 'begun'), worker)
+    admit(cluster, make_job('due', large, policy=due))
+    worker = add_worker(cluster, 'w')
+    run_task(cluster, find_task(cluster, 'begun'), worker)
     assert begun.has_started
-    steps = sort_steps(book.ready.values(), now=0.1)
+    steps = sort_steps(cluster.ready.values(), now=0.1)
     assert [s[0].id.job for s in steps][:2] == ['begun', 'small']
 
 
 def test_priority_goes_before_deadlines() -> None:
-    book = Book()
-    low = admit(book, make_job('low', policy=make_policy(priority=2)))
+    cluster = ClusterState()
+    low = admit(cluster, make_job('low', policy=make_policy(priority=2)))
     low.accepted_at = -1.0
-    high = admit(book, make_job('high', policy=make_policy(priority=0)))
-    order = [s[0].job for s in sort_steps(book.ready.values(), 1.0)]
+    high = admit(cluster, make_job('high', policy=make_policy(priority=0)))
+    order = [s[0].job for s in sort_steps(cluster.ready.values(), 1.0)]
     assert order == [high, low]
 
 
 def test_lasting_tasks_that_come_together_share_a_worker_by_image() -> None:
-    book = Book()
+    cluster = ClusterState()
     for name in 'vw':
-        add_worker(book, name)
+        add_worker(cluster, name)
     for number, image in enumerate(('x', 'y', 'x', 'y')):
         step = make_step(count=2, lasting=True, image=image, target_ms=50.0)
-        admit(book, make_job(f'j{number}', step))
-    assert place(book, now=0.1) == []
+        admit(cluster, make_job(f'j{number}', step))
+    assert place(cluster, now=0.1) == []
     images: dict[str, set[str]] = {}
-    for task, worker in place(book, now=0.3):
+    for task, worker in place(cluster, now=0.3):
         images.setdefault(worker.id, set()).add(task.spec.image)
     assert sorted(len(found) for found in images.values()) == [1, 1]
 
 
 def test_steps_bounded_per_worker_spread_where_their_image_is() -> None:
     """Placed last, bounded tasks kept further workers from filling work."""
-    book = Book()
+    cluster = ClusterState()
     for number in range(6):
-        add_worker(book, f'w{number}')
+        add_worker(cluster, f'w{number}')
     image = {'lasting': True, 'image': 'x', 'target_ms': 50.0}
-    admit(book, make_job('wide', make_step(count=9, **image)))
+    admit(cluster, make_job('wide', make_step(count=9, **image)))
     bounded = make_step(count=3, most_per_worker=1, **image)
-    admit(book, make_job('bounded', bounded))
+    admit(cluster, make_job('bounded', bounded))
     admit(
-        book, make_job('other', make_step(count=8, **{**image, 'image': 'y'}))
+        cluster,
+        make_job('other', make_step(count=8, **{**image, 'image': 'y'})),
     )
-    placed = place(book, now=1.0)
+    placed = place(cluster, now=1.0)
     workers = {worker.id for task, worker in placed if task.spec.image == 'x'}
     # Twelve tasks of a quarter of a worker each.
     assert len(placed) == 20
@@ -247,37 +252,37 @@
 
 def test_a_worker_that_fails_everything_is_closed_and_tried_again() -> None:
     """A failing worker, always free, used up the attempts of job after job."""
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     health = Health()
     closed = False
     for number in range(FAILING_JOBS):
-        admit(book, make_job(f'j{number}'))
-        task = find_task(book, f'j{number}')
-        run_task(book, task, worker)
-        book.end(task, EndKind.FAILED, 2.0)
+        admit(cluster, make_job(f'j{number}'))
+        task = find_task(cluster, f'j{number}')
+        run_task(cluster, task, worker)
+        cluster.end_run(task, EndKind.FAILED, 2.0)
         closed = health.note_end(worker, task, EndKind.FAILED, 2.0)
     assert closed
-    assert place(book, now=2.5) == []
-    assert len(place(book, now=2.1 + CLOSED_SECONDS)) == 1
+    assert place(cluster, now=2.5) == []
+    assert len(place(cluster, now=2.1 + CLOSED_SECONDS)) == 1
 
 
 def test_one_bad_job_does_not_close_a_worker() -> None:
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     health = Health()
-    admit(book, make_job('bad', make_step(count=9)))
+    admit(cluster, make_job('bad', make_step(count=9)))
     for index in range(9):
-        task = find_task(book, 'bad', 0, index)
+        task = find_task(cluster, 'bad', 0, index)
         assert not health.note_end(worker, task, EndKind.FAILED, 1.0)
 
 
 def test_a_task_that_uses_no_processor_hangs() -> None:
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('a'))
-    task = find_task(book, 'a')
-    run_task(book, task, worker, 0.0)
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('a'))
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, worker, 0.0)
     task.idle_since = 1.0
     assert list_hanging(worker, 1.0 + HANG_SECONDS) == []
     assert list_hanging(worker, 1.1 + HANG_SECONDS) == [task]
@@ -285,36 +290,36 @@
 
 def test_a_worker_on_trial_gets_one_task_beside_what_it_had() -> None:
     """An old lasting task counted as the trial, and kept the worker out."""
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('old', make_step(lasting=True)))
-    run_task(book, find_task(book, 'old'), worker, 0.0)
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('old', make_step(lasting=True)))
+    run_task(cluster, find_task(cluster, 'old'), worker, 0.0)
     health = Health()
     health.close(worker, 10.0)
-    admit(book, make_job('new', make_step(count=3, lasting=True)))
+    admit(cluster, make_job('new', make_step(count=3, lasting=True)))
     opened = worker.closed_until + 1.0
-    placed = place(book, now=opened)
+    placed = place(cluster, now=opened)
     assert len(placed) == 1
     task = placed[0][0]
-    book.confirm(task, task.run, opened)
+    cluster.confirm_start(task, task.run, opened)
     health.end_trials([worker], opened + 0.5)
-    assert place(book, now=opened + 0.5) == []
+    assert place(cluster, now=opened + 0.5) == []
     health.end_trials([worker], opened + 0.1 + TRIAL_SECONDS)
-    assert len(place(book, now=opened + 0.1 + TRIAL_SECONDS)) == 2
+    assert len(place(cluster, now=opened + 0.1 + TRIAL_SECONDS)) == 2
 
 
 def test_a_worker_over_a_target_gets_nothing_that_fills() -> None:
     """Each new filling task ran until the next look and kept the tail up."""
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     step = make_step(lasting=True, image='web', target_ms=50.0)
-    admit(book, make_job('serving', step))
-    served = find_task(book, 'serving')
-    run_task(book, served, worker, 0.0)
+    admit(cluster, make_job('serving', step))
+    served = find_task(cluster, 'serving')
+    run_task(cluster, served, worker, 0.0)
     sharing = Sharing()
     sharing.restore([['web', 'light', 0.0]])
-    admit(book, make_job('fill', make_step(fills=True, image='light')))
-    placer = Placer(book, sharing)
+    admit(cluster, make_job('fill', make_step(fills=True, image='light')))
+    placer = Placer(cluster, sharing)
     served.usage = 60.0
     sharing.observe(worker, 9.0)
     assert run_pass(placer, 10.0) == []
@@ -325,12 +330,12 @@
 
 def test_ends_of_the_previous_owners_time_close_no_worker() -> None:
     """Failures told at a takeover at once closed a third of the workers."""
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     health = Health()
     for number in range(FAILING_JOBS + 1):
-        admit(book, make_job(f'j{number}'))
-        task = find_task(book, f'j{number}')
+        admit(cluster, make_job(f'j{number}'))
+        task = find_task(cluster, f'j{number}')
         assert not health.note_end(worker, task, EndKind.FAILED, 2.0)
 
 
@@ -339,12 +344,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = Book()
-        self.placer = Placer(self.book, Sharing())
+        self.cluster = ClusterState()
+        self.placer = Placer(self.cluster, Sharing())
         self.now = 0.0
         self.jobs = 0
         for number in range(3):
-            add_worker(self.book, f'w{number}', labels=('a', f'r{number}'))
+            add_worker(self.cluster, f'w{number}', labels=('a', f'r{number}'))
 
     @rule(
         count=strategies.integers(1, 6),
@@ -364,51 +369,53 @@
             most_per_worker=most,
             image='f' if fills else '',
         )
-        admit(self.book, make_job(f'j{self.jobs}', step))
+        admit(self.cluster, make_job(f'j{self.jobs}', step))
         self.jobs += 1
 
     @rule(seconds=strategies.floats(0.01, 2.0))
     def pass_over(self, seconds: float) -> None:
         self.now += seconds
         for task, _ in self.placer.place(self.now, lambda t, w: True):
-            self.book.confirm(task, task.run, self.now)
+            self.cluster.confirm_start(task, task.run, self.now)
 
     @rule(
         number=strategies.integers(0, 2),
         kind=strategies.sampled_from(list(EndKind)),
     )
     def end(self, number: int, kind: EndKind) -> None:
-        worker = self.book.workers[f'w{number}']
+        worker = self.cluster.workers[f'w{number}']
         for task in list(worker.tasks.values())[:1]:
-            self.book.end(task, kind, self.now)
+            self.cluster.end_run(task, kind, self.now)
 
     @rule(number=strategies.integers(0, 2))
     def lapse(self, number: int) -> None:
-        self.book.lapse(self.book.workers[f'w{number}'], self.now)
+        self.cluster.end_worker_tasks(
+            self.cluster.workers[f'w{number}'], self.now
+        )
 
     @rule(number=strategies.integers(0, 9))
     def cancel(self, number: int) -> None:
-        self.book.cancel(f'j{number}', self.now)
+        self.cluster.cancel(f'j{number}', self.now)
 
     @invariant()
     def nothing_is_over_its_capacity(self) -> None:
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             assert worker.used.fits(worker.entry.capacity)
 
     @invariant()
     def each_task_is_in_one_place(self) -> None:
-        for job in self.book.jobs.values():
+        for job in self.cluster.jobs.values():
             for task in job.tasks.values():
                 holders = [
                     worker.id
-                    for worker in self.book.workers.values()
+                    for worker in self.cluster.workers.values()
                     if task.id in worker.tasks
                 ]
                 placed = [task.worker] if task.phase.is_placed else []
                 assert holders == placed
                 waits = task.phase is TaskPhase.WAITING
-                released = self.book.is_released(task)
-                assert (task.id in self.book.ready) == (waits and released)
+                released = self.cluster.is_released(task)
+                assert (task.id in self.cluster.ready) == (waits and released)
 
 
 PlacingMachine.TestCase.settings = settings(
--- a/tests/test_placing_scale.py
+++ b/tests/test_placing_scale.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.placing import Placer
 from lentilmount.scheduling.reconciling import Reconciler
 from lentilmount.scheduling.reports import EndKind
@@ -27,10 +27,10 @@
 TASKS = 40
 
 
-def count_looks(book: Book, monkeypatch: pytest.MonkeyPatch) -> int:
+def count_looks(cluster: ClusterState, monkeypatch: pytest.MonkeyPatch) -> int:
     """Runs one pass; returns how often it asked whether a worker has room."""
     checks = record_checks(monkeypatch, 'allows')
-    run_pass(Placer(book, Sharing()), 10.0)
+    run_pass(Placer(cluster, Sharing()), 10.0)
     return len(checks)
 
 
@@ -42,12 +42,12 @@
     step: StepSpec, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Asking all workers for each task of a step took an owner's processor."""
-    book = Book()
+    cluster = ClusterState()
     for number in range(WORKERS):
-        add_worker(book, f'w-{number}')
-    admit(book, make_job('a', step))
-    assert count_looks(book, monkeypatch) <= WORKERS + TASKS
-    placed = [t for t in book.jobs['a'].tasks.values() if t.worker]
+        add_worker(cluster, f'w-{number}')
+    admit(cluster, make_job('a', step))
+    assert count_looks(cluster, monkeypatch) <= WORKERS + TASKS
+    placed = [t for t in cluster.jobs['a'].tasks.values() if t.worker]
     assert len(placed) == TASKS
 
 
@@ -68,18 +68,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Working out all workers in each pass took a third of an owner's time."""
-    book = Book()
-    workers = [add_worker(book, f'w-{n}') for n in range(WORKERS)]
-    admit(book, make_job('big', make_step(demand=Room(99.0, 1))))
+    cluster = ClusterState()
+    workers = [add_worker(cluster, f'w-{n}') for n in range(WORKERS)]
+    admit(cluster, make_job('big', make_step(demand=Room(99.0, 1))))
     renewed = _watch_renewals(monkeypatch)
-    placer = Placer(book, Sharing())
+    placer = Placer(cluster, Sharing())
     run_pass(placer, 10.0)
     assert len(renewed) == WORKERS
     renewed.clear()
     for number in range(5):
         run_pass(placer, 10.01 + 0.01 * number)
     assert renewed == []
-    Reconciler(book).take_look(workers[3], make_look(), 10.06, 10.06)
+    Reconciler(cluster).take_look(workers[3], make_look(), 10.06, 10.06)
     workers[5].entry = make_entry('w-5', capacity=Room(4.0, 16_000))
     run_pass(placer, 10.07)
     assert renewed == ['w-3', 'w-5']
@@ -90,12 +90,12 @@
 
 def test_room_that_becomes_free_is_used_by_the_next_pass() -> None:
     """A task ends and another that waits for its room is started at once."""
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('a', make_step(count=2, demand=Room(8.0, 1000))))
-    placer = Placer(book, Sharing())
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('a', make_step(count=2, demand=Room(8.0, 1000))))
+    placer = Placer(cluster, Sharing())
     ((first, _),) = run_pass(placer, 10.0)
     assert run_pass(placer, 10.01) == []
-    book.end(first, EndKind.DONE, 10.02)
+    cluster.end_run(first, EndKind.DONE, 10.02)
     ((second, there),) = run_pass(placer, 10.02)
     assert (second is not first, there) == (True, worker)
--- a/tests/test_refused_stops.py
+++ b/tests/test_refused_stops.py
@@ -13,7 +13,7 @@
 from lentilmount.control.links import Link
 from lentilmount.control.orders import Orders
 from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import WorkerEntry
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import add_worker, admit, find_task, make_job, run_task
@@ -22,14 +22,14 @@
 
 
 def make_orders(
-    book: Book,
+    cluster: ClusterState,
     calls: WorkerCalls,
     link: Link,
     started: list[Coroutine[Any, Any, None]],
 ) -> Orders:
     """Returns orders to one worker, of which each is kept unsent in a list."""
     return Orders(
-        book,
+        cluster,
         calls,
         {link.worker.id: link},
         NoEvents(),
@@ -60,16 +60,18 @@
     """A start carried out late ran after its task had ended elsewhere."""
     monkeypatch.setattr(orders_module, 'RETRY_SECONDS', 0.0)
     clock = ManualClock()
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('job'))
-    task = find_task(book, 'job')
-    run_task(book, task, worker)
-    book.begin_stop(task)
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('job'))
+    task = find_task(cluster, 'job')
+    run_task(cluster, task, worker)
+    cluster.begin_stop(task)
     calls = _RefusingCalls()
-    link = Link(worker, book, calls, NoEvents(), LEASE_SECONDS, clock.monotonic)
+    link = Link(
+        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    )
     started: list[Coroutine[Any, Any, None]] = []
-    orders = make_orders(book, calls, link, started)
+    orders = make_orders(cluster, calls, link, started)
     orders.stop(task)
 
     async def play() -> None:
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -14,7 +14,7 @@
 from lentilmount.coordination.table import ABSENT, Put
 from lentilmount.coordination.transactions import make_token
 from lentilmount.platform.store import PAGE
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
 from lentilmount.scheduling.specs import JobSpec, TaskId
@@ -36,18 +36,18 @@
     """Each takeover raised the number of a task's next run."""
     runs = []
     for takeovers in (1, 3):
-        book = Book()
-        job = admit(book, make_job('a', make_step(lasting=True)))
-        run_task(book, find_task(book, 'a'), add_worker(book, 'w'))
+        cluster = ClusterState()
+        job = admit(cluster, make_job('a', make_step(lasting=True)))
+        run_task(cluster, find_task(cluster, 'a'), add_worker(cluster, 'w'))
         body = encode_state(job)
         for _ in range(takeovers):
-            book = Book()
-            job = admit(book, make_job('a', make_step(lasting=True)))
-            restore_state(book, job, body, 7.4, 0.0)
+            cluster = ClusterState()
+            job = admit(cluster, make_job('a', make_step(lasting=True)))
+            restore_state(cluster, job, body, 7.4, 0.0)
             body = encode_state(job)
-        task = find_task(book, 'a')
-        book.end(task, EndKind.LAPSED, 8.0)
-        book.place([task], add_worker(book, 'v'), 8.0)
+        task = find_task(cluster, 'a')
+        cluster.end_run(task, EndKind.LAPSED, 8.0)
+        cluster.place([task], add_worker(cluster, 'v'), 8.0)
         runs.append(task.run)
     assert runs == [10, 10]
 
@@ -63,15 +63,15 @@
         first=100.0,
         interval=50.0,
     )
-    book = Book()
-    job = book.admit(spec, 0.0, 100.1)
-    task = find_task(book, 'a')
-    run_task(book, task, add_worker(book, 'w'))
-    book.end(task, EndKind.DONE, 2.0)
-    after = Book()
+    cluster = ClusterState()
+    job = cluster.admit(spec, 0.0, 100.1)
+    task = find_task(cluster, 'a')
+    run_task(cluster, task, add_worker(cluster, 'w'))
+    cluster.end_run(task, EndKind.DONE, 2.0)
+    after = ClusterState()
     restored = after.admit(spec, 0.0, 99.9)
     restore_state(after, restored, encode_state(job), 7.4, 0.0)
-    after.open_due(100.2)
+    after.create_due_tasks(100.2)
     assert TaskId('a', 0, 0, 0) not in after.ready
 
 
@@ -103,7 +103,7 @@
             intake = Intake(
                 'desk',
                 table,
-                Book(),
+                ClusterState(),
                 SystemClock(),
                 lambda job_id: None,
                 lambda: None,
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -6,7 +6,7 @@
 import weakref
 
 from lentilmount.control.retention import Retention
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task
 from lentilmount.scheduling.reports import EndKind
 from tests.fleet_scene import (
@@ -21,16 +21,16 @@
 
 def _forget_a_job() -> list[weakref.ref[Task]]:
     """Runs a job to its end and forgets it; returns what watches its tasks."""
-    book = Book()
-    admit(book, make_job('a', make_step(count=3)))
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    admit(cluster, make_job('a', make_step(count=3)))
+    worker = add_worker(cluster, 'w')
     watches = []
     for index in range(3):
-        task = find_task(book, 'a', 0, index)
-        run_task(book, task, worker)
-        book.end(task, EndKind.DONE, 2.0)
+        task = find_task(cluster, 'a', 0, index)
+        run_task(cluster, task, worker)
+        cluster.end_run(task, EndKind.DONE, 2.0)
         watches.append(weakref.ref(task))
-    retention = Retention('desk', book, 1.0)
+    retention = Retention('desk', cluster, 1.0)
     old = retention.list_old(100.0)
     assert [job.spec.id for job in old] == ['a']
     retention.forget(old)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 
 from benchmarks.emulated import Load
 from benchmarks.emulation import Emulation
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.filtering import Filter
 from lentilmount.scheduling.model import Task, Worker, measure_intensity
 from lentilmount.scheduling.pacing import HALT_AFTER_SECONDS, Pacer
@@ -34,22 +34,24 @@
 TARGET_MS = 50.0
 
 
-def make_scene() -> tuple[Book, Worker, Task]:
+def make_scene() -> tuple[ClusterState, Worker, Task]:
     """Returns a worker with one serving task."""
-    book = Book()
-    worker = add_worker(book, 'w')
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
     step = make_step(lasting=True, image='web', target_ms=TARGET_MS)
-    admit(book, make_job('serving', step))
-    served = find_task(book, 'serving')
-    run_task(book, served, worker, 0.0)
-    return book, worker, served
+    admit(cluster, make_job('serving', step))
+    served = find_task(cluster, 'serving')
+    run_task(cluster, served, worker, 0.0)
+    return cluster, worker, served
 
 
-def add_fill(book: Book, worker: Worker, name: str, image: str) -> Task:
+def add_fill(
+    cluster: ClusterState, worker: Worker, name: str, image: str
+) -> Task:
     """Adds a filling task that has run for long."""
-    admit(book, make_job(name, make_step(fills=True, image=image)))
-    task = find_task(book, name)
-    run_task(book, task, worker, -10.0)
+    admit(cluster, make_job(name, make_step(fills=True, image=image)))
+    task = find_task(cluster, name)
+    run_task(cluster, task, worker, -10.0)
     task.usage = 1000 * task.spec.demand.cores
     return task
 
@@ -69,18 +71,18 @@
 
 
 def test_a_heavy_image_is_kept_off_and_a_light_one_is_not() -> None:
-    book, worker, served = make_scene()
+    cluster, worker, served = make_scene()
     sharing = Sharing()
     now = 0.0
     for _ in range(20):
         now += 0.5
         tell(sharing, worker, served, 0.5, now)
-    heavy = add_fill(book, worker, 'a', 'heavy')
+    heavy = add_fill(cluster, worker, 'a', 'heavy')
     for _ in range(10):
         now += 0.5
         tell(sharing, worker, served, 0.65, now)
     worker.remove(heavy)
-    light = add_fill(book, worker, 'b', 'light')
+    light = add_fill(cluster, worker, 'b', 'light')
     for _ in range(10):
         now += 0.5
         tell(sharing, worker, served, 0.5, now)
@@ -92,11 +94,11 @@
 
 
 def test_the_worst_neighbour_is_slowed_and_the_others_are_not() -> None:
-    book, worker, served = make_scene()
+    cluster, worker, served = make_scene()
     sharing = Sharing()
     sharing.restore([['web', 'heavy', 0.15], ['web', 'light', 0.01]])
-    heavy = add_fill(book, worker, 'a', 'heavy')
-    light = add_fill(book, worker, 'b', 'light')
+    heavy = add_fill(cluster, worker, 'a', 'heavy')
+    light = add_fill(cluster, worker, 'b', 'light')
     for step in range(6):
         tell(sharing, worker, served, 0.79, 0.5 * step)
     paces = Pacer(sharing).plan(worker, 2.6)
@@ -107,10 +109,10 @@
 
 def test_everything_halts_when_the_target_is_missed_for_long() -> None:
     """A tail stayed over its target for causes that the model does not see."""
-    book, worker, served = make_scene()
+    cluster, worker, served = make_scene()
     sharing = Sharing()
     sharing.restore([['web', 'light', 0.0]])
-    light = add_fill(book, worker, 'b', 'light')
+    light = add_fill(cluster, worker, 'b', 'light')
     now = 0.0
     while now <= HALT_AFTER_SECONDS:
         tell(sharing, worker, served, 0.9, now)
@@ -119,10 +121,10 @@
 
 
 def test_a_slowed_task_gets_more_when_the_load_is_low() -> None:
-    book, worker, served = make_scene()
+    cluster, worker, served = make_scene()
     sharing = Sharing()
     sharing.restore([['web', 'heavy', 0.1]])
-    heavy = add_fill(book, worker, 'a', 'heavy')
+    heavy = add_fill(cluster, worker, 'a', 'heavy')
     heavy.percent = heavy.percent_before = 0
     for step in range(10):
         tell(sharing, worker, served, 0.3, 0.5 * step)
@@ -130,16 +132,16 @@
 
 
 def test_what_was_learned_reaches_the_next_owner() -> None:
-    book = Book()
+    cluster = ClusterState()
     step = make_step(count=2, lasting=True, image='web', target_ms=TARGET_MS)
-    admit(book, make_job('serving', step))
-    beside = add_worker(book, 'beside')
-    alone = add_worker(book, 'alone')
-    served = find_task(book, 'serving', 0, 0)
-    run_task(book, served, beside, 0.0)
-    other = find_task(book, 'serving', 0, 1)
-    run_task(book, other, alone, 0.0)
-    add_fill(book, beside, 'a', 'heavy')
+    admit(cluster, make_job('serving', step))
+    beside = add_worker(cluster, 'beside')
+    alone = add_worker(cluster, 'alone')
+    served = find_task(cluster, 'serving', 0, 0)
+    run_task(cluster, served, beside, 0.0)
+    other = find_task(cluster, 'serving', 0, 1)
+    run_task(cluster, other, alone, 0.0)
+    add_fill(cluster, beside, 'a', 'heavy')
     sharing = Sharing()
     for number in range(20):
         tell(sharing, alone, other, 0.5, 0.5 * number)
@@ -199,8 +201,8 @@
 
 def test_a_quiet_spell_interferes_less() -> None:
     """A quiet task was throttled for what it does in busy spells."""
-    book, worker, _ = make_scene()
-    fill = add_fill(book, worker, 'a', 'heavy')
+    cluster, worker, _ = make_scene()
+    fill = add_fill(cluster, worker, 'a', 'heavy')
     assert measure_intensity(fill) == pytest.approx(1.0)
     fill.usage = 670 * fill.spec.demand.cores
     assert measure_intensity(fill) == pytest.approx(0.4)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -205,12 +205,12 @@
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
             owner = _make_owner(table, keeper, lease)
-            book = owner.book
-            admit(book, make_job('a', make_step(lasting=True)))
-            task = find_task(book, 'a')
+            cluster = owner.cluster
+            admit(cluster, make_job('a', make_step(lasting=True)))
+            task = find_task(cluster, 'a')
             task.run = 1
-            worker = book.workers['w'] = make_unregistered('w')
-            book.restore_placed(task, worker)
+            worker = cluster.workers['w'] = make_unregistered('w')
+            cluster.restore_placed(task, worker)
             owner._add_link(worker)
             owner._meet(make_entry('w', state=WorkerState.DRAINING))
             assert task.phase is TaskPhase.STOPPING
--- a/tests/test_unanswered_orders.py
+++ b/tests/test_unanswered_orders.py
@@ -14,7 +14,7 @@
 from lentilmount.control import orders as orders_module
 from lentilmount.control.links import Link
 from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
-from lentilmount.scheduling.book import Book
+from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import MOST_CLOSED, STOP_SECONDS, Health
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reconciling import Reconciler
@@ -200,28 +200,28 @@
     run(play())
 
 
-def place_start(book: Book) -> tuple[Task, Worker]:
+def place_start(cluster: ClusterState) -> tuple[Task, Worker]:
     """Places a task whose start must begin by 2 s on the worker's clock."""
-    worker = add_worker(book, 'w')
-    admit(book, make_job('job'))
-    task = find_task(book, 'job')
-    book.place([task], worker, 1.0)
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('job'))
+    task = find_task(cluster, 'job')
+    cluster.place([task], worker, 1.0)
     task.start_deadline_ms = 2000
     return task, worker
 
 
 def test_a_start_that_may_still_be_carried_out_keeps_its_task() -> None:
     """A list made before a start expired proves nothing about the start."""
-    book = Book()
-    task, worker = place_start(book)
-    reconciler = Reconciler(book)
+    cluster = ClusterState()
+    task, worker = place_start(cluster)
+    reconciler = Reconciler(cluster)
     reconciler.take_look(worker, make_look(), 3.0, 3.1)
     task.start_expired_at = 4.0
     reconciler.take_look(worker, make_look(), 3.9, 4.1)
     assert task.phase is TaskPhase.STARTING
     news = reconciler.take_look(worker, make_look(), 4.2, 4.3)
     assert news.expired == [task]
-    assert task.id in book.ready
+    assert task.id in cluster.ready
 
 
 class _LossyCalls(WorkerCalls):
@@ -248,16 +248,16 @@
 ) -> None:
     """A task that was taken to be slowed down went on interfering."""
     monkeypatch.setattr(orders_module, 'RETRY_SECONDS', 0.0)
-    book = Book()
-    worker = add_worker(book, 'w')
-    admit(book, make_job('job', make_step(fills=True)))
-    task = find_task(book, 'job')
-    run_task(book, task, worker)
+    cluster = ClusterState()
+    worker = add_worker(cluster, 'w')
+    admit(cluster, make_job('job', make_step(fills=True)))
+    task = find_task(cluster, 'job')
+    run_task(cluster, task, worker)
     calls = _LossyCalls()
     clock = ManualClock()
-    link = Link(worker, book, calls, NoEvents(), 6.0, clock.monotonic)
+    link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
     started: list[Coroutine[Any, Any, None]] = []
-    make_orders(book, calls, link, started).pace(task, 20)
+    make_orders(cluster, calls, link, started).pace(task, 20)
 
     async def play() -> None:
         await asyncio.wait_for(started[0], 5.0)
@@ -268,15 +268,15 @@
 
 def open_overdue(workers: int) -> list[Worker]:
     """Returns workers of which each has left a stop unanswered."""
-    book = Book()
+    cluster = ClusterState()
     spec = make_step(count=workers, lasting=True)
-    admit(book, make_job('job', spec))
+    admit(cluster, make_job('job', spec))
     found = []
     for index in range(workers):
-        worker = add_worker(book, f'w{index}')
-        task = find_task(book, 'job', 0, index)
-        run_task(book, task, worker)
-        book.begin_stop(task)
+        worker = add_worker(cluster, f'w{index}')
+        task = find_task(cluster, 'job', 0, index)
+        run_task(cluster, task, worker)
+        cluster.begin_stop(task)
         worker.stop_unanswered_since = 1.0
         found.append(worker)
     return found
@@ -298,7 +298,9 @@
     worker.reachable = False
     now = 1.1 + STOP_SECONDS
     assert Health().review_leases([worker], now) == ([], [])
-    link = Link(worker, Book(), _LossyCalls(), NoEvents(), 6.0, lambda: now)
+    link = Link(
+        worker, ClusterState(), _LossyCalls(), NoEvents(), 6.0, lambda: now
+    )
 
     async def play() -> None:
         keeping = asyncio.create_task(link.run())
