--- a/benchmarks/emulation.py
+++ b/benchmarks/emulation.py
@@ -32,12 +32,12 @@
 )
 from lentilmount.scheduling.pacing import Pacer
 from lentilmount.scheduling.placing import Placer
-from lentilmount.scheduling.reconciling import Reconciler
+from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import (
     EndKind,
-    EndRow,
-    Look,
-    RunningRow,
+    EndReport,
+    RunReport,
+    WorkerReport,
 )
 from lentilmount.scheduling.sharing import IDLE_RATIO, Sharing
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
@@ -64,7 +64,7 @@
         self.pacer = Pacer(self.sharing)
         self.now = 0.0
         self.running: dict[str, dict[Task, Running]] = {}
-        self.ends: dict[str, list[EndRow]] = {}
+        self.ends: dict[str, list[EndReport]] = {}
         self.jobs: list[Job] = []
         self.outcome = Outcome()
         self._counted = 0.0
@@ -289,23 +289,23 @@
         number = len(self.ends[worker.id]) + 1
         task = running.task
         self.ends[worker.id].append(
-            EndRow(number, str(task.id), task.run, kind, done)
+            EndReport(number, str(task.id), task.run, kind, done)
         )
 
     # What the policy sees and does.
 
     def _look(self, worker: Worker) -> None:
         rows = tuple(
-            RunningRow(str(t.id), t.run, '', 100, self._measure(running))
+            RunReport(str(t.id), t.run, '', 100, self._measure(running))
             for t, running in self.running[worker.id].items()
         )
         ended = tuple(self.ends[worker.id])
         self.ends[worker.id] = []
-        look = Look(1, 0, rows, ended)
-        news = Reconciler(self.cluster).take_look(
-            worker, look, self.now, self.now
+        report = WorkerReport(1, 0, rows, ended)
+        result = Reconciler(self.cluster).reconcile(
+            worker, report, self.now, self.now
         )
-        for task, _ in news.ended:
+        for task, _ in result.ended:
             self.sharing.forget(task)
             self._halted.pop(task, None)
         self.sharing.observe(worker, self.now)
--- a/lentilmount/cli/waits.py
+++ b/lentilmount/cli/waits.py
@@ -17,11 +17,11 @@
 
 _FINAL = frozenset(phase.value for phase in FINAL_PHASES)
 
-Look = Callable[[], Awaitable[tuple[bool, str]]]
+WorkerReport = Callable[[], Awaitable[tuple[bool, str]]]
 """Tells whether the wait is over, and how far it is."""
 
 
-async def _wait(session: Session, look: Look) -> None:
+async def _wait(session: Session, look: WorkerReport) -> None:
     """Waits until a look says that it is over.
 
     Raises:
--- a/lentilmount/control/advice.py
+++ b/lentilmount/control/advice.py
@@ -79,8 +79,8 @@
         known = self._known.get(get_step(task))
         if known is None:
             return ''
-        ticket, born, until = known.tickets.get(worker.id, ('', 0, 0.0))
-        if born != worker.entry.born or self.monotonic() > until:
+        ticket, started_ms, until = known.tickets.get(worker.id, ('', 0, 0.0))
+        if started_ms != worker.entry.started_ms or self.monotonic() > until:
             return ''
         return ticket
 
@@ -144,8 +144,8 @@
             if ticket is None:
                 known.barred.add(worker.id)
                 continue
-            born = worker.entry.born
-            known.tickets[worker.id] = (ticket, born, until)
+            started_ms = worker.entry.started_ms
+            known.tickets[worker.id] = (ticket, started_ms, until)
         log.info(
             'Advised.',
             extra={
--- a/lentilmount/control/links.py
+++ b/lentilmount/control/links.py
@@ -13,13 +13,13 @@
 from lentilmount.platform.workers import Verdict, WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
-from lentilmount.scheduling.reconciling import News, Reconciler
-from lentilmount.scheduling.reports import Look
+from lentilmount.scheduling.reconciliation import Reconciler, ReconcileResult
+from lentilmount.scheduling.reports import WorkerReport
 from lentilmount.waiting import wait_briefly
 
 log = logbook.Logger('links')
 
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 """Between looks at a worker where something fills beside what serves; figures
 there are half a second old at the best."""
 
@@ -57,7 +57,7 @@
     def lose(self, reason: str) -> None:
         """Another owner has a higher token."""
 
-    def take_news(self, worker: Worker, news: News) -> None:
+    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
         """A look changed something."""
 
     def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
@@ -95,7 +95,7 @@
     life: int = 0
     is_probed: bool = False
     wrote: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _born: int | None = None
+    _started_ms: int | None = None
     _clock_ms: int | None = None
     _clock_at: float = 0.0
     _last_until_ms: int = 0
@@ -144,8 +144,8 @@
             self._choose_renewal(),
             self._choose_wait() if waits else 0.0,
         )
-        if isinstance(answer, Look):
-            self._take_look(answer, asked_at)
+        if isinstance(answer, WorkerReport):
+            self._handle_report(answer, asked_at)
             return
         await self._take_failure(answer)
 
@@ -168,7 +168,7 @@
             return DOUBT_LOOK_SECONDS
         serves = any(t.serves for t in self.worker.tasks.values())
         fills = any(t.spec.fills for t in self.worker.tasks.values())
-        return LOOK_SECONDS if serves and fills else QUIET_LOOK_SECONDS
+        return POLL_SECONDS if serves and fills else QUIET_LOOK_SECONDS
 
     def _choose_renewal(self) -> int | None:
         """Returns the end of new leases on the worker's clock, or None.
@@ -268,11 +268,14 @@
             since = min(worker.stop_unanswered_since, sent_at)
             worker.stop_unanswered_since = since
 
-    def _take_look(self, look: Look, asked_at: float) -> None:
+    def _handle_report(self, report: WorkerReport, asked_at: float) -> None:
         worker = self.worker
-        if self._born is not None and look.born != self._born:
+        if (
+            self._started_ms is not None
+            and report.started_ms != self._started_ms
+        ):
             self.restart('it restarted')
-        self._born = look.born
+        self._started_ms = report.started_ms
         if not worker.reached:
             self._bound_inherited()
         if not worker.reached or not worker.reachable:
@@ -280,13 +283,16 @@
             self._trust_orders()
         worker.reached = worker.reachable = True
         worker.is_missed = False
-        self.note_clock(look.clock_ms)
-        fresh = tuple(e for e in look.ended if e.number > self.received)
-        news = Reconciler(self.cluster).take_look(
-            worker, attrs.evolve(look, ended=fresh), asked_at, self.monotonic()
+        self.note_clock(report.clock_ms)
+        fresh = tuple(e for e in report.ended if e.number > self.received)
+        result = Reconciler(self.cluster).reconcile(
+            worker,
+            attrs.evolve(report, ended=fresh),
+            asked_at,
+            self.monotonic(),
         )
-        self.received = max(self.received, news.acknowledged)
-        self.events.take_news(worker, news)
+        self.received = max(self.received, result.last_end_number)
+        self.events.take_news(worker, result)
 
     def _bound_inherited(self) -> None:
         """Notes when unknown leases end: none is given there by others now."""
@@ -296,13 +302,13 @@
         self._inherited_end = self.monotonic() + longest
         self.worker.lapses_at = self._inherited_end
 
-    def note_registration(self, born: int) -> None:
+    def note_registration(self, started_ms: int) -> None:
         """Takes in that the worker registered a new life.
 
         Its lists often tell of that life before. What was placed there since
         runs; given up, it would be started elsewhere and run twice.
         """
-        if self._born is None or self._born < born:
+        if self._started_ms is None or self._started_ms < started_ms:
             self.restart('it registered anew')
 
     def acknowledge(self, life: int, number: int) -> None:
@@ -319,7 +325,7 @@
         """Forgets an incarnation: nothing of it runs any more."""
         self.received = self.written = 0
         self.life += 1
-        self._born = None
+        self._started_ms = None
         self._clock_ms = None
         self._last_until_ms = 0
         self._inherited_end = 0.0
--- a/lentilmount/control/orders.py
+++ b/lentilmount/control/orders.py
@@ -18,7 +18,7 @@
 )
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.reconciling import Stray
+from lentilmount.scheduling.reconciliation import StaleRun
 
 log = logbook.Logger('links')
 
@@ -71,9 +71,9 @@
             worker.changes += 1
         self.start_task(self._pace(task, task.run, percent))
 
-    def stop_stray(self, stray: Stray) -> None:
+    def stop_stale_run(self, stale_run: StaleRun) -> None:
         """Stops a run that should not be there."""
-        self.start_task(self._stop_stray(stray))
+        self.start_task(self._stop_stale_run(stale_run))
 
     async def _start(self, task: Task, run: int) -> None:
         link = self.links.get(task.worker)
@@ -188,11 +188,11 @@
         is_known = self.links.get(worker.id) is link and worker.reachable
         return is_known and not worker.takes_orders
 
-    async def _stop_stray(self, stray: Stray) -> None:
-        link = self.links.get(stray.worker)
+    async def _stop_stale_run(self, stale_run: StaleRun) -> None:
+        link = self.links.get(stale_run.worker)
         if link is not None:
             sent_at = self.monotonic()
-            verdict = await self._send_stop(link, stray.task, stray.run)
+            verdict = await self._send_stop(link, stale_run.task, stale_run.run)
             link.note_stop(_is_taken(verdict), sent_at)
 
     async def _pace(self, task: Task, run: int, percent: int) -> None:
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -36,7 +36,7 @@
 )
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
 from lentilmount.scheduling.placing import Placer
-from lentilmount.scheduling.reconciling import News
+from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 from lentilmount.scheduling.sharing import Sharing
 
@@ -285,18 +285,21 @@
         known = self.cluster.workers.get(entry.id)
         before = known.entry if known is not None else None
         worker = self.cluster.register_worker(entry)
-        if before is not None and before.born not in (0, entry.born):
+        if before is not None and before.started_ms not in (
+            0,
+            entry.started_ms,
+        ):
             link = self.links.get(entry.id)
             if link is not None:
-                link.note_registration(entry.born)
+                link.note_registration(entry.started_ms)
         if entry.id not in self.links:
             self._add_link(worker)
         # What only rows spoke of has no time of birth yet, nor a true state.
-        if not before or not before.born or before.state != entry.state:
+        if not before or not before.started_ms or before.state != entry.state:
             log.info(
                 'Worker is {}.',
                 entry.state.value,
-                extra={'worker': entry.id, 'born': entry.born},
+                extra={'worker': entry.id, 'born': entry.started_ms},
             )
             if entry.state is WorkerState.DRAINING:
                 self._steering.drain(worker)
@@ -362,12 +365,12 @@
         self._wake.set()
         self._commits.note_change()
 
-    def take_news(self, worker: Worker, news: News) -> None:
+    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
         """See `Events`."""
-        self._steering.take_news(worker, news, self._clock.monotonic())
+        self._steering.take_news(worker, result, self._clock.monotonic())
         if worker.is_told_silent:
             self._commits.note_change()
-        if news.ended or news.adopted or news.expired:
+        if result.ended or result.adopted or result.expired:
             self._wake.set()
             self._commits.note_change()
 
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/steering.py
@@ -11,7 +11,7 @@
 from lentilmount.scheduling.health import Health, list_hanging
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
 from lentilmount.scheduling.pacing import Pacer
-from lentilmount.scheduling.reconciling import News
+from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.sharing import Sharing
 
@@ -47,20 +47,22 @@
     metrics: ControlMetrics
     _halted: dict[Task, float] = attrs.Factory(dict)
 
-    def take_news(self, worker: Worker, news: News, now: float) -> None:
+    def take_news(
+        self, worker: Worker, result: ReconcileResult, now: float
+    ) -> None:
         """Acts on a look at a worker."""
-        for task, kind in news.ended:
+        for task, kind in result.ended:
             self.forget(task)
             self._note_end(worker, task, kind, now)
-        self._note_expired(worker, news.expired, now)
-        for stray in news.strays:
-            self.orders.stop_stray(stray)
-        for task in news.adopted:
+        self._note_expired(worker, result.expired, now)
+        for stale_run in result.stale_runs:
+            self.orders.stop_stale_run(stale_run)
+        for task in result.adopted:
             self._resume(task)
-        if news.unknown:
+        if result.unknown_tasks:
             log.warning(
                 'Runs tasks of jobs not known yet.',
-                extra={'worker': worker.id, 'tasks': news.unknown[:5]},
+                extra={'worker': worker.id, 'tasks': result.unknown_tasks[:5]},
             )
         self._pace(worker, now)
 
--- a/lentilmount/platform/documents.py
+++ b/lentilmount/platform/documents.py
@@ -12,10 +12,10 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.reports import (
     EndKind,
-    EndRow,
-    Look,
-    RunningRow,
+    EndReport,
+    RunReport,
     WorkerEntry,
+    WorkerReport,
     WorkerState,
 )
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
@@ -226,7 +226,7 @@
         leaves = document.get('remainingMs')
         return WorkerEntry(
             id=worker_id,
-            born=int(document.get('born') or 0),
+            started_ms=int(document.get('born') or 0),
             address=address,
             service=service,
             zone=zone,
@@ -234,13 +234,13 @@
             capacity=_decode_room(document['capacity']),
             labels=labels,
             # What is left at the least, not what has run.
-            leaves_in=None if leaves is None else float(leaves) / 1000,
+            drain_seconds=None if leaves is None else float(leaves) / 1000,
         )
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
 
 
-def decode_look(body: bytes) -> Look:
+def decode_look(body: bytes) -> WorkerReport:
     """Decodes a worker's lists.
 
     Raises:
@@ -248,13 +248,13 @@
     """
     document = orjson.loads(body)
     try:
-        born = document.get('born')
-        return Look(
-            born=None if born is None else int(born),
+        started_ms = document.get('born')
+        return WorkerReport(
+            started_ms=None if started_ms is None else int(started_ms),
             clock_ms=int(document['clockMs']),
             running=tuple(map(_decode_running, document.get('running') or ())),
             ended=tuple(
-                EndRow(int(n), task, int(run), EndKind(how), saved or '')
+                EndReport(int(n), task, int(run), EndKind(how), saved or '')
                 for n, task, run, how, saved in document.get('ended') or ()
             ),
         )
@@ -262,11 +262,11 @@
         raise ValueError(f'lists of a worker: {error!r}') from error
 
 
-def _decode_running(row: list[Any]) -> RunningRow:
+def _decode_running(row: list[Any]) -> RunReport:
     # The fourth entry is progress, not the share set by slowing down.
     task, run, saved, progress = row[:4]
     # The fifth entry is a tail in ms for a task that serves, and thousandths
     # of a core in use for all others; `usage` is in the same unit here, and
     # the task's step tells which it is.
     figure = float(row[4]) if len(row) > 4 else None
-    return RunningRow(task, int(run), saved or '', int(progress), figure)
+    return RunReport(task, int(run), saved or '', int(progress), figure)
--- a/lentilmount/platform/workers.py
+++ b/lentilmount/platform/workers.py
@@ -9,7 +9,7 @@
 import orjson
 
 from lentilmount.platform.documents import decode_look
-from lentilmount.scheduling.reports import Look, WorkerEntry
+from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import Answer, HttpCaller
 
 EXPECTED_INSTANCE = 'X-Expected-Instance'
@@ -126,7 +126,7 @@
         seen: int,
         lease_until_ms: int | None,
         wait: float,
-    ) -> Look | Verdict:
+    ) -> WorkerReport | Verdict:
         """Renews the leases of a worker and asks for its lists.
 
         Args:
--- a/lentilmount/scheduling/health.py
+++ b/lentilmount/scheduling/health.py
@@ -143,7 +143,7 @@
     if not worker.reachable or math.isinf(worker.stop_unanswered_since):
         return False
     stopping = (t.phase is TaskPhase.STOPPING for t in worker.tasks.values())
-    if not worker.runs_strays and not any(stopping):
+    if not worker.has_stale_runs and not any(stopping):
         worker.stop_unanswered_since = math.inf
     return now - worker.stop_unanswered_since > STOP_SECONDS
 
--- a/lentilmount/scheduling/model.py
+++ b/lentilmount/scheduling/model.py
@@ -211,7 +211,7 @@
       keeps_leases: Whether its leases may be renewed.
       present: Whether it is registered now.
       opaque: Whether it runs something that this owner does not know.
-      runs_strays: Whether it runs something that should not be there.
+      has_stale_runs: Whether it runs something that should not be there.
       lapses_at: Monotonic time by which all leases there have run out; 0 if
         none is known.
       closed_until: Monotonic time until which it gets no work.
@@ -231,7 +231,7 @@
     keeps_leases: bool = True
     present: bool = True
     opaque: bool = False
-    runs_strays: bool = False
+    has_stale_runs: bool = False
     lapses_at: float = 0.0
     closed_until: float = 0.0
     on_trial: bool = False
--- a/lentilmount/scheduling/reconciling.py
+++ b/lentilmount/scheduling/reconciliation.py
@@ -9,7 +9,12 @@
 
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.reports import EndKind, EndRow, Look, RunningRow
+from lentilmount.scheduling.reports import (
+    EndKind,
+    EndReport,
+    RunReport,
+    WorkerReport,
+)
 from lentilmount.scheduling.specs import TaskId
 
 IDLE_USAGE = 0.02
@@ -17,7 +22,7 @@
 
 
 @attrs.frozen
-class Stray:
+class StaleRun:
     """A run that a worker lists and that should not be there."""
 
     worker: str
@@ -26,24 +31,24 @@
 
 
 @attrs.define
-class News:
+class ReconcileResult:
     """What a look at a worker changed.
 
     Attributes:
       ended: Tasks that ended, and how.
       adopted: Tasks found running that were not known to run there.
       expired: Tasks whose start was not carried out and no longer can be.
-      strays: Runs to be stopped.
-      unknown: Jobs that this owner does not know.
-      acknowledged: The last end that may be forgotten once all is written.
+      stale_runs: Runs to be stopped.
+      unknown_tasks: Jobs that this owner does not know.
+      last_end_number: The last end that may be forgotten once all is written.
     """
 
     ended: list[tuple[Task, EndKind]] = attrs.Factory(list)
     adopted: list[Task] = attrs.Factory(list)
     expired: list[Task] = attrs.Factory(list)
-    strays: list[Stray] = attrs.Factory(list)
-    unknown: list[str] = attrs.Factory(list)
-    acknowledged: int = 0
+    stale_runs: list[StaleRun] = attrs.Factory(list)
+    unknown_tasks: list[str] = attrs.Factory(list)
+    last_end_number: int = 0
 
 
 class Reconciler:
@@ -52,36 +57,36 @@
     def __init__(self, cluster: ClusterState):
         self._cluster = cluster
 
-    def take_look(
-        self, worker: Worker, look: Look, asked_at: float, now: float
-    ) -> News:
+    def reconcile(
+        self, worker: Worker, report: WorkerReport, asked_at: float, now: float
+    ) -> ReconcileResult:
         """Takes in what a worker says it runs.
 
         Args:
           worker: Who answered.
-          look: The answer.
+          report: The answer.
           asked_at: Monotonic time at which the call was sent.
           now: Monotonic time of the answer.
         """
-        news = News()
+        result = ReconcileResult()
         listed: set[TaskId] = set()
-        for end in look.ended:
-            self._take_end(worker, end, news, now)
-        for row in look.running:
-            task = self._take_running(worker, row, news, now)
+        for end in report.ended:
+            self._take_end(worker, end, result, now)
+        for row in report.running:
+            task = self._take_running(worker, row, result, now)
             if task is not None:
                 listed.add(task.id)
         for task in self._list_vanished(worker, listed, asked_at):
             if task.phase is TaskPhase.STARTING:
                 self._cluster.requeue(task)
-                news.expired.append(task)
+                result.expired.append(task)
                 continue
             self._cluster.end_run(task, EndKind.LAPSED, now)
-            news.ended.append((task, EndKind.LAPSED))
-        worker.opaque = bool(news.unknown)
-        worker.runs_strays = bool(news.strays)
+            result.ended.append((task, EndKind.LAPSED))
+        worker.opaque = bool(result.unknown_tasks)
+        worker.has_stale_runs = bool(result.stale_runs)
         worker.changes += 1
-        return news
+        return result
 
     def _list_vanished(
         self, worker: Worker, listed: set[TaskId], asked_at: float
@@ -110,28 +115,34 @@
         return job.tasks.get(task_id) if job is not None else None
 
     def _take_end(
-        self, worker: Worker, end: EndRow, news: News, now: float
+        self,
+        worker: Worker,
+        end: EndReport,
+        result: ReconcileResult,
+        now: float,
     ) -> None:
-        news.acknowledged = max(news.acknowledged, end.number)
+        result.last_end_number = max(result.last_end_number, end.number)
         task = self._find(end.task)
         if task is None:
             return
         self._cluster.mark_started(task.job)
         here = task.worker == worker.id and task.run == end.run
         if not here:
-            self._take_late_end(task, end, news, now)
+            self._take_late_end(task, end, result, now)
             return
         if end.checkpoint:
             task.checkpoint = end.checkpoint
-        self._stop(self._cluster.end_run(task, end.kind, now), news)
-        news.ended.append((task, end.kind))
+        self._stop(self._cluster.end_run(task, end.kind, now), result)
+        result.ended.append((task, end.kind))
 
-    def _stop(self, tasks: list[Task], news: News) -> None:
+    def _stop(self, tasks: list[Task], result: ReconcileResult) -> None:
         for task in tasks:
-            news.strays.append(Stray(task.worker, str(task.id), task.run))
+            result.stale_runs.append(
+                StaleRun(task.worker, str(task.id), task.run)
+            )
 
     def _take_late_end(
-        self, task: Task, end: EndRow, news: News, now: float
+        self, task: Task, end: EndReport, result: ReconcileResult, now: float
     ) -> None:
         """Takes in an end that the book had not placed at that worker.
 
@@ -151,32 +162,36 @@
             return
         is_new = end.run not in task.failed_runs
         if end.kind is EndKind.FAILED and is_new:
-            self._stop(self._cluster.record_failure(task, end.run, now), news)
-            news.ended.append((task, end.kind))
+            self._stop(self._cluster.record_failure(task, end.run, now), result)
+            result.ended.append((task, end.kind))
         elif end.kind is EndKind.DONE and task.phase is TaskPhase.WAITING:
-            self._stop(self._cluster.complete(task, now), news)
-            news.ended.append((task, end.kind))
+            self._stop(self._cluster.complete(task, now), result)
+            result.ended.append((task, end.kind))
 
     def _take_running(
-        self, worker: Worker, row: RunningRow, news: News, now: float
+        self,
+        worker: Worker,
+        row: RunReport,
+        result: ReconcileResult,
+        now: float,
     ) -> Task | None:
         task = self._find(row.task)
         if task is None:
-            news.unknown.append(row.task)
+            result.unknown_tasks.append(row.task)
             return None
         self._cluster.mark_started(task.job)
         self._supersede(task, row.run)
         idle = task.phase in (TaskPhase.WAITING, TaskPhase.GIVEN_UP)
         if idle and row.run >= task.run:
             self._adopt(task, worker, row, now)
-            news.adopted.append(task)
+            result.adopted.append(task)
         if task.worker != worker.id or task.run != row.run:
-            news.strays.append(Stray(worker.id, row.task, row.run))
+            result.stale_runs.append(StaleRun(worker.id, row.task, row.run))
             return None
         if task.confirmed_at == 0.0:
             # Taken over from a row, and heard of for the first time.
             task.confirmed_at = now
-            news.adopted.append(task)
+            result.adopted.append(task)
         self._update(task, row, now)
         return task
 
@@ -191,7 +206,7 @@
             self._cluster.requeue(task)
 
     def _adopt(
-        self, task: Task, worker: Worker, row: RunningRow, now: float
+        self, task: Task, worker: Worker, row: RunReport, now: float
     ) -> None:
         task.run = row.run
         task.phase = TaskPhase.RUNNING
@@ -205,7 +220,7 @@
         if task.job.state.is_final:
             self._cluster.begin_stop(task)
 
-    def _update(self, task: Task, row: RunningRow, now: float) -> None:
+    def _update(self, task: Task, row: RunReport, now: float) -> None:
         self._cluster.confirm_start(task, row.run, now)
         if row.checkpoint:
             task.checkpoint = row.checkpoint
--- a/lentilmount/scheduling/reports.py
+++ b/lentilmount/scheduling/reports.py
@@ -22,29 +22,29 @@
 
     Attributes:
       id: Its id.
-      born: Unix ms of the start of this incarnation.
+      started_ms: Unix ms of the start of this incarnation.
       address: Host and port.
       service: The pool it belongs to.
       zone: Its availability zone.
       state: Whether it takes work.
       capacity: What it has.
       labels: Its kind and its rack.
-      leaves_in: Seconds it certainly stays while draining, or None.
+      drain_seconds: Seconds it certainly stays while draining, or None.
     """
 
     id: str
-    born: int
+    started_ms: int
     address: str
     service: str
     zone: str
     state: WorkerState
     capacity: Room
     labels: tuple[str, ...] = ()
-    leaves_in: float | None = None
+    drain_seconds: float | None = None
 
 
 @attrs.frozen
-class RunningRow:
+class RunReport:
     """A run that a worker lists as running.
 
     Attributes:
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class EndRow:
+class EndReport:
     """A run that a worker lists as ended."""
 
     number: int
@@ -85,17 +85,18 @@
 
 
 @attrs.frozen
-class Look:
+class WorkerReport:
     """What a worker says it runs.
 
     Attributes:
-      born: Unix ms of the start of the incarnation that answered, or None.
+      started_ms: Unix ms of the start of the incarnation that answered, or
+        None.
       clock_ms: Its steady clock.
       running: What runs there.
       ended: Ends not yet acknowledged, the oldest first.
     """
 
-    born: int | None
+    started_ms: int | None
     clock_ms: int
-    running: tuple[RunningRow, ...]
-    ended: tuple[EndRow, ...]
+    running: tuple[RunReport, ...]
+    ended: tuple[EndReport, ...]
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -12,10 +12,10 @@
 from lentilmount.scheduling.placing import Placer
 from lentilmount.scheduling.reports import (
     EndKind,
-    EndRow,
-    Look,
-    RunningRow,
+    EndReport,
+    RunReport,
     WorkerEntry,
+    WorkerReport,
     WorkerState,
 )
 from lentilmount.scheduling.rows import encode_state, restore_state
@@ -53,7 +53,7 @@
 def make_entry(name: str, **fields: Any) -> WorkerEntry:
     """Returns a worker's registration."""
     given = {
-        'born': 1,
+        'started_ms': 1,
         'address': f'{name}:1',
         'service': SERVICE,
         'zone': 'north',
@@ -87,25 +87,23 @@
     cluster.confirm_start(task, task.run, now)
 
 
-def make_look(
-    running: tuple[RunningRow, ...] = (), ended: tuple[EndRow, ...] = ()
-) -> Look:
+def make_report(
+    running: tuple[RunReport, ...] = (), ended: tuple[EndReport, ...] = ()
+) -> WorkerReport:
     """Returns a worker's lists."""
-    return Look(1, 1000, running, ended)
+    return WorkerReport(1, 1000, running, ended)
 
 
 def make_end(
     number: int, task: Task, run: int, kind: EndKind, checkpoint: str = ''
-) -> EndRow:
+) -> EndReport:
     """Returns the end of a run."""
-    return EndRow(number, str(task.id), run, kind, checkpoint)
+    return EndReport(number, str(task.id), run, kind, checkpoint)
 
 
-def make_running(
-    task: Task, run: int, usage: float | None = None
-) -> RunningRow:
+def make_running(task: Task, run: int, usage: float | None = None) -> RunReport:
     """Returns a row of what runs."""
-    return RunningRow(str(task.id), run, '', 0, usage)
+    return RunReport(str(task.id), run, '', 0, usage)
 
 
 def admit(cluster: ClusterState, spec: JobSpec) -> Job:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -7,7 +7,7 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import JobState, Task, TaskPhase
-from lentilmount.scheduling.reconciling import Reconciler, Stray
+from lentilmount.scheduling.reconciliation import Reconciler, StaleRun
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
 from tests.fleet_scene import (
@@ -17,8 +17,8 @@
     hand_over,
     make_end,
     make_job,
-    make_look,
     make_policy,
+    make_report,
     make_running,
     make_step,
     run_task,
@@ -102,7 +102,7 @@
         make_end(n + 1, task, 1, EndKind.STOPPED)
         for n, task in enumerate(stopping)
     )
-    Reconciler(cluster).take_look(worker, make_look(ended=ends), 2.0, 2.0)
+    Reconciler(cluster).reconcile(worker, make_report(ended=ends), 2.0, 2.0)
     assert worker.fits(make_step().demand)
 
 
@@ -111,7 +111,7 @@
     new, task = take_over('w')
     worker = add_worker(new, 'w')
     ended = make_end(1, task, 1, EndKind.DONE)
-    Reconciler(new).take_look(worker, make_look(ended=(ended,)), 5.0, 5.0)
+    Reconciler(new).reconcile(worker, make_report(ended=(ended,)), 5.0, 5.0)
     assert new.jobs['a'].state is JobState.COMPLETED
     assert not new.ready
 
@@ -122,9 +122,9 @@
     second = add_worker(new, 'second')
     first = add_worker(new, 'first')
     done = make_end(1, task, 2, EndKind.DONE)
-    Reconciler(new).take_look(second, make_look(ended=(done,)), 5.0, 5.0)
+    Reconciler(new).reconcile(second, make_report(ended=(done,)), 5.0, 5.0)
     stopped = make_end(1, task, 1, EndKind.STOPPED)
-    Reconciler(new).take_look(first, make_look(ended=(stopped,)), 5.0, 5.0)
+    Reconciler(new).reconcile(first, make_report(ended=(stopped,)), 5.0, 5.0)
     assert new.jobs['a'].state is JobState.COMPLETED
     assert not new.ready
 
@@ -133,19 +133,19 @@
     new, task = take_over('first')
     second = add_worker(new, 'second')
     running = make_running(task, 2)
-    news = Reconciler(new).take_look(
-        second, make_look(running=(running,)), 5.0, 5.0
+    result = Reconciler(new).reconcile(
+        second, make_report(running=(running,)), 5.0, 5.0
     )
-    assert news.strays == []
+    assert result.stale_runs == []
     assert task.worker == 'second'
 
 
 def test_what_was_taken_over_is_told_once() -> None:
     new, task = take_over('w')
     worker = add_worker(new, 'w')
-    look = make_look(running=(make_running(task, 1),))
-    assert Reconciler(new).take_look(worker, look, 5.0, 5.0).adopted == [task]
-    assert Reconciler(new).take_look(worker, look, 6.0, 6.0).adopted == []
+    report = make_report(running=(make_running(task, 1),))
+    assert Reconciler(new).reconcile(worker, report, 5.0, 5.0).adopted == [task]
+    assert Reconciler(new).reconcile(worker, report, 6.0, 6.0).adopted == []
 
 
 def test_an_end_that_was_written_counts_once() -> None:
@@ -158,7 +158,7 @@
     new = hand_over(cluster)
     worker = add_worker(new, 'w')
     ended = make_end(1, task, 1, EndKind.FAILED)
-    Reconciler(new).take_look(worker, make_look(ended=(ended,)), 5.0, 5.0)
+    Reconciler(new).reconcile(worker, make_report(ended=(ended,)), 5.0, 5.0)
     assert task.failures == 1
     assert new.jobs['a'].state is JobState.RUNNING
 
@@ -171,7 +171,7 @@
     first, second = add_worker(new, 'first'), add_worker(new, 'second')
     for worker, run in ((second, 2), (first, 1)):
         ended = make_end(1, task, run, EndKind.FAILED)
-        Reconciler(new).take_look(worker, make_look(ended=(ended,)), 5.0, 5.0)
+        Reconciler(new).reconcile(worker, make_report(ended=(ended,)), 5.0, 5.0)
     assert task.failures == 2
     assert new.jobs['a'].state is JobState.FAILED
     assert not new.ready
@@ -187,7 +187,7 @@
     cluster.end_worker_tasks(worker, 9.0)
     assert task.id in cluster.ready
     ended = make_end(1, task, 1, EndKind.DONE)
-    Reconciler(cluster).take_look(worker, make_look(ended=(ended,)), 9.5, 9.5)
+    Reconciler(cluster).reconcile(worker, make_report(ended=(ended,)), 9.5, 9.5)
     assert cluster.jobs['a'].state is JobState.COMPLETED
     assert not cluster.ready
 
@@ -211,10 +211,10 @@
     worker = add_worker(cluster, 'w')
     task = find_task(cluster, 'a')
     run_task(cluster, task, worker, now=5.0)
-    Reconciler(cluster).take_look(worker, make_look(), 4.9, 5.1)
+    Reconciler(cluster).reconcile(worker, make_report(), 4.9, 5.1)
     assert task.phase is TaskPhase.RUNNING
-    news = Reconciler(cluster).take_look(worker, make_look(), 5.2, 5.3)
-    assert news.ended == [(task, EndKind.LAPSED)]
+    result = Reconciler(cluster).reconcile(worker, make_report(), 5.2, 5.3)
+    assert result.ended == [(task, EndKind.LAPSED)]
     assert task.id in cluster.ready
 
 
@@ -226,10 +226,10 @@
     task = find_task(cluster, 'a')
     cluster.place([task], worker, 1.0)
     cluster.begin_stop(task)
-    Reconciler(cluster).take_look(worker, make_look(), 2.0, 2.0)
+    Reconciler(cluster).reconcile(worker, make_report(), 2.0, 2.0)
     assert task.id not in cluster.ready
     task.stopped_at = 2.5
-    Reconciler(cluster).take_look(worker, make_look(), 3.0, 3.0)
+    Reconciler(cluster).reconcile(worker, make_report(), 3.0, 3.0)
     assert task.id in cluster.ready
 
 
@@ -242,13 +242,13 @@
     cluster.place([task], worker, 1.0)
     cluster.cancel('a', 2.0)
     task.stopped_at = 1.5
-    Reconciler(cluster).take_look(worker, make_look(), 2.0, 2.0)
+    Reconciler(cluster).reconcile(worker, make_report(), 2.0, 2.0)
     assert not worker.tasks
     running = make_running(task, 1)
-    news = Reconciler(cluster).take_look(
-        worker, make_look(running=(running,)), 4.0, 4.0
+    result = Reconciler(cluster).reconcile(
+        worker, make_report(running=(running,)), 4.0, 4.0
     )
-    assert news.adopted == [task]
+    assert result.adopted == [task]
     assert task.phase is TaskPhase.STOPPING
 
 
@@ -261,10 +261,10 @@
     task.run = 3
     run_task(cluster, task, first)
     old = make_running(task, 2)
-    news = Reconciler(cluster).take_look(
-        second, make_look(running=(old,)), 2.0, 2.0
+    result = Reconciler(cluster).reconcile(
+        second, make_report(running=(old,)), 2.0, 2.0
     )
-    assert news.strays == [Stray('second', str(task.id), 2)]
+    assert result.stale_runs == [StaleRun('second', str(task.id), 2)]
 
 
 def test_a_worker_that_runs_something_unknown_is_opaque() -> None:
@@ -273,10 +273,10 @@
     admit(other, make_job('b'))
     worker = add_worker(cluster, 'w')
     running = make_running(find_task(other, 'b'), 1)
-    news = Reconciler(cluster).take_look(
-        worker, make_look(running=(running,)), 1.0, 1.0
+    result = Reconciler(cluster).reconcile(
+        worker, make_report(running=(running,)), 1.0, 1.0
     )
-    assert news.unknown == [running.task]
+    assert result.unknown_tasks == [running.task]
     assert worker.opaque
 
 
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -21,15 +21,15 @@
 )
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
-from lentilmount.scheduling.reconciling import News
-from lentilmount.scheduling.reports import Look, WorkerEntry
+from lentilmount.scheduling.reconciliation import ReconcileResult
+from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import (
     add_worker,
     admit,
     find_task,
     make_job,
-    make_look,
+    make_report,
     make_running,
     make_step,
     run_task,
@@ -47,7 +47,7 @@
     def lose(self, reason: str) -> None:
         """See `Events`."""
 
-    def take_news(self, worker: Worker, news: News) -> None:
+    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
         """See `Events`."""
 
     def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
@@ -108,7 +108,7 @@
     def __init__(self, clock: ManualClock):
         super().__init__(HttpCaller(''), 1, CALL_SECONDS)
         self.ends: list[int] = []
-        self.looks: list[Look] = []
+        self.looks: list[WorkerReport] = []
         self._clock = clock
 
     async def start(
@@ -119,7 +119,9 @@
         self._clock.advance(CALL_SECONDS)
         return OrderAnswer(Verdict.UNKNOWN)
 
-    async def look(self, *args: object, **options: object) -> Look | Verdict:
+    async def look(
+        self, *args: object, **options: object
+    ) -> WorkerReport | Verdict:
         """See `WorkerCalls`."""
         self._clock.advance(CALL_SECONDS)
         return self.looks.pop(0) if self.looks else Verdict.UNKNOWN
@@ -230,7 +232,7 @@
         worker = add_worker(cluster, 'w')
         worker.reached = worker.reachable = False
         calls = SilentCalls(clock)
-        calls.looks.append(make_look())
+        calls.looks.append(make_report())
         events = Promise(clock, clock.monotonic())
         link = Link(
             worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
@@ -259,7 +261,7 @@
         worker.lapses_at = clock.monotonic() + LEASE_SECONDS
         inherited = worker.lapses_at
         calls = SilentCalls(clock)
-        calls.looks.append(make_look((make_running(lasting, 1),)))
+        calls.looks.append(make_report((make_running(lasting, 1),)))
         events = Promise(clock, clock.monotonic())
         link = Link(
             worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
--- a/tests/test_link_pauses.py
+++ b/tests/test_link_pauses.py
@@ -13,10 +13,10 @@
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
-from lentilmount.scheduling.reconciling import News
-from lentilmount.scheduling.reports import Look, WorkerEntry
+from lentilmount.scheduling.reconciliation import ReconcileResult
+from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpCaller
-from tests.fleet_scene import add_worker, make_look
+from tests.fleet_scene import add_worker, make_report
 from tests.helpers import run
 
 LOOKS = 3
@@ -31,7 +31,7 @@
     def lose(self, reason: str) -> None:
         """See `Events`."""
 
-    def take_news(self, worker: Worker, news: News) -> None:
+    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
         """See `Events`."""
 
     def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
@@ -56,12 +56,12 @@
         seen: int,
         lease_until_ms: int | None,
         wait: float,
-    ) -> Look:
+    ) -> WorkerReport:
         self.looks += 1
         if self.looks == LOOKS:
             self.enough.set()
             await asyncio.Event().wait()
-        return make_look()
+        return make_report()
 
 
 async def _list_pauses(
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.reconciling import Reconciler
+from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import EndKind
 from tests.fleet_scene import (
     add_worker,
@@ -12,7 +12,7 @@
     hand_over,
     make_end,
     make_job,
-    make_look,
+    make_report,
     make_running,
     make_step,
 )
@@ -33,8 +33,8 @@
     assert cluster.count_pending() == {name: 0}
     cluster.end_run(task, EndKind.LAPSED, 3.0)
     assert cluster.count_pending() == {name: 0}
-    look = make_look(running=(make_running(task, task.run),))
-    Reconciler(new).take_look(new.workers['cut'], look, 5.0, 5.0)
+    report = make_report(running=(make_running(task, task.run),))
+    Reconciler(new).reconcile(new.workers['cut'], report, 5.0, 5.0)
     assert new.count_pending() == {name: 0}
 
 
@@ -49,7 +49,7 @@
         admit(cluster, make_job('a', make_step(count=2)))
         task = find_task(cluster, 'a')
         cluster.place([task], add_worker(cluster, 'w'), 1.0)
-        look = make_look(ended=(make_end(1, task, 1, kind, checkpoint),))
-        Reconciler(cluster).take_look(cluster.workers['w'], look, 2.0, 2.0)
+        report = make_report(ended=(make_end(1, task, 1, kind, checkpoint),))
+        Reconciler(cluster).reconcile(cluster.workers['w'], report, 2.0, 2.0)
         for owner in (cluster, hand_over(cluster)):
             assert set(owner.count_pending().values()) == {0}
--- a/tests/test_placing_scale.py
+++ b/tests/test_placing_scale.py
@@ -7,7 +7,7 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.placing import Placer
-from lentilmount.scheduling.reconciling import Reconciler
+from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.sharing import Sharing
 from lentilmount.scheduling.specs import StepSpec
@@ -17,7 +17,7 @@
     admit,
     make_entry,
     make_job,
-    make_look,
+    make_report,
     make_step,
     record_checks,
     run_pass,
@@ -79,7 +79,7 @@
     for number in range(5):
         run_pass(placer, 10.01 + 0.01 * number)
     assert renewed == []
-    Reconciler(cluster).take_look(workers[3], make_look(), 10.06, 10.06)
+    Reconciler(cluster).reconcile(workers[3], make_report(), 10.06, 10.06)
     workers[5].entry = make_entry('w-5', capacity=Room(4.0, 16_000))
     run_pass(placer, 10.07)
     assert renewed == ['w-3', 'w-5']
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -154,7 +154,7 @@
     entry = decode_worker('i-1', value)
     assert entry is not None
     assert entry.state is WorkerState.DRAINING
-    assert entry.leaves_in == 2.5
+    assert entry.drain_seconds == 2.5
     assert entry.capacity == Room(16.0, 64, 1)
 
 
@@ -164,7 +164,7 @@
         b'"ended":[[58,"j.0.0.2",1,"alone",""]]}'
     )
     look = decode_look(body)
-    assert (look.born, look.clock_ms) == (3, 7)
+    assert (look.started_ms, look.clock_ms) == (3, 7)
     assert look.running[0].usage == 12.5
     assert look.ended[0].kind is EndKind.ALONE
     for wrong in (b'', b'[]', b'{}', b'{"clockMs":1,"ended":[[1]]}'):
--- a/tests/test_unanswered_orders.py
+++ b/tests/test_unanswered_orders.py
@@ -17,8 +17,8 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import MOST_CLOSED, STOP_SECONDS, Health
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.reconciling import Reconciler
-from lentilmount.scheduling.reports import Look, WorkerEntry
+from lentilmount.scheduling.reconciliation import Reconciler
+from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpCaller
 from stand_ins.fleet import START_PATH, STOP_PATH, FleetWorker
 from tests.fleet_scene import (
@@ -26,7 +26,7 @@
     admit,
     find_task,
     make_job,
-    make_look,
+    make_report,
     make_step,
     run_task,
 )
@@ -215,12 +215,12 @@
     cluster = ClusterState()
     task, worker = place_start(cluster)
     reconciler = Reconciler(cluster)
-    reconciler.take_look(worker, make_look(), 3.0, 3.1)
+    reconciler.reconcile(worker, make_report(), 3.0, 3.1)
     task.start_expired_at = 4.0
-    reconciler.take_look(worker, make_look(), 3.9, 4.1)
+    reconciler.reconcile(worker, make_report(), 3.9, 4.1)
     assert task.phase is TaskPhase.STARTING
-    news = reconciler.take_look(worker, make_look(), 4.2, 4.3)
-    assert news.expired == [task]
+    result = reconciler.reconcile(worker, make_report(), 4.2, 4.3)
+    assert result.expired == [task]
     assert task.id in cluster.ready
 
 
@@ -237,10 +237,10 @@
         """See `WorkerCalls`."""
         return OrderAnswer(self.verdicts.pop(0))
 
-    async def look(self, *args: object, **options: object) -> Look:
+    async def look(self, *args: object, **options: object) -> WorkerReport:
         """See `WorkerCalls`."""
         await asyncio.sleep(0.0)
-        return make_look()
+        return make_report()
 
 
 def test_a_change_of_pace_is_sent_until_it_is_answered(
