--- a/benchmarks/emulated.py
+++ b/benchmarks/emulated.py
@@ -107,5 +107,5 @@
         labels,
     )
     worker = cluster.register_worker(entry)
-    worker.reached = worker.reachable = True
+    worker.has_answered = worker.reachable = True
     return worker
--- a/benchmarks/emulation.py
+++ b/benchmarks/emulation.py
@@ -228,7 +228,7 @@
         spare = worker.entry.capacity.cores
         for running in here.values():
             cores = running.task.spec.demand.cores
-            if running.task.serves:
+            if running.task.is_serving:
                 spare -= cores * self._get_load(running)
                 self._serve(running, filling)
             elif not running.task.spec.fills:
@@ -313,7 +313,7 @@
             self._pace(task, percent)
 
     def _measure(self, running: Running) -> float | None:
-        if not running.task.serves:
+        if not running.task.is_serving:
             used = BUSY_USAGE if running.busy else QUIET_USAGE
             cores = running.task.spec.demand.cores
             return cores * 10 * running.percent * used
@@ -323,9 +323,9 @@
         return float(round(mean * TARGET_MS * self.random.gauss(1, 0.08)))
 
     def _pace(self, task: Task, percent: int) -> None:
-        task.percent_before = task.percent
-        task.percent = percent
-        task.paced_at = self.now
+        task.previous_cpu_percent = task.cpu_percent
+        task.cpu_percent = percent
+        task.throttled_at = self.now
         self._paces.append((self.now + 0.1, task, percent))
         if percent == 0:
             self._halted.setdefault(task, self.now)
@@ -371,5 +371,5 @@
         self.outcome.serving = self._counted / self._owed
 
     def _is_in_time(self, job: Job) -> bool:
-        ended = max(task.lost_at for task in job.tasks.values())
+        ended = max(task.last_ended_at for task in job.tasks.values())
         return ended - job.accepted_at <= job.objective
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -181,7 +181,7 @@
         return capacity
 
     def _lose(self, worker: Worker) -> None:
-        worker.present = False
+        worker.is_registered = False
         for task in self._cluster.end_worker_tasks(worker, self._now):
             self._left.pop(task, None)
 
@@ -232,7 +232,7 @@
 
     def _work(self) -> None:
         for worker in self._cluster.workers.values():
-            if not worker.present:
+            if not worker.is_registered:
                 continue
             speed = _measure_speed(worker)
             for task in list(worker.tasks.values()):
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -225,7 +225,7 @@
             self._unsent += placed
             return
         for worker in self.cluster.workers.values():
-            worker.is_told_silent = worker.id in silent
+            worker.is_reported_unreachable = worker.id in silent
         self.retention.forget(old)
         self.forget(old)
         for job in jobs:
@@ -245,9 +245,9 @@
     def _tell_ended(self, jobs: list[Job]) -> None:
         """Logs once of each job that is over, and how long it took."""
         for job in jobs:
-            if not job.state.is_final or job.is_told:
+            if not job.state.is_final or job.is_end_logged:
                 continue
-            job.is_told = True
+            job.is_end_logged = True
             took = job.ended_at - job.accepted_at
             log.info(
                 'Job is {}.',
@@ -273,7 +273,7 @@
         now = self.clock.monotonic()
         data = describe(self.cluster, self.inheritance, is_unwritten, now)
         for worker_id in data.remaining:
-            self.cluster.workers[worker_id].is_told_silent = True
+            self.cluster.workers[worker_id].is_reported_unreachable = True
         self.lease.data = data.encode(self.lease.epoch)
         return data.remaining
 
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatch.py
@@ -103,8 +103,10 @@
         """
         end = self.monotonic() + FIRST_LOOK_SECONDS
         while self.monotonic() < end:
-            present = [w for w in self.cluster.workers.values() if w.present]
-            if present and all(w.reached for w in present):
+            present = [
+                w for w in self.cluster.workers.values() if w.is_registered
+            ]
+            if present and all(w.has_answered for w in present):
                 return
             await asyncio.sleep(FIRST_LOOK_PAUSE_SECONDS)
 
@@ -118,7 +120,7 @@
         for task, worker in self.placer.place(now, allows):
             self.commits.add_start(task)
             self.metrics.count_start()
-            if task.job.started_at == now:
+            if task.job.first_placed_at == now:
                 started.add(task.job)
             starts.append((str(task.id), task.run, worker.id))
         log_starts(starts)
--- a/lentilmount/control/gauges.py
+++ b/lentilmount/control/gauges.py
@@ -20,7 +20,7 @@
         workers['yes' if worker.reachable else 'no'] += 1
         running += len(worker.tasks)
         for task in worker.tasks.values():
-            if task.serves and task.usage is not None:
+            if task.is_serving and task.usage is not None:
                 image = task.spec.image
                 ratio = task.usage / task.spec.target_ms
                 tails[image] = max(tails.get(image, 0.0), ratio)
--- a/lentilmount/control/links.py
+++ b/lentilmount/control/links.py
@@ -103,14 +103,14 @@
 
     def __attrs_post_init__(self) -> None:
         """Keeps what is known of the previous owner's leases."""
-        self._inherited_end = self.worker.lapses_at
+        self._inherited_end = self.worker.leases_expire_at
 
     async def run(self) -> None:
         """Keeps the link until the worker is gone and runs nothing."""
         while True:
-            if not self.worker.present and not self.worker.tasks:
+            if not self.worker.is_registered and not self.worker.tasks:
                 await asyncio.sleep(FORGET_SECONDS)
-                if not self.worker.present and not self.worker.tasks:
+                if not self.worker.is_registered and not self.worker.tasks:
                     return
             if not self.worker.entry.address:
                 await self._wait_for_lapse()
@@ -118,13 +118,13 @@
             await self._look()
 
     async def _wait_for_lapse(self) -> None:
-        self.worker.is_missed = True
+        self.worker.has_missed_poll = True
         await asyncio.sleep(RETRY_SECONDS)
         self._check_lapse('its leases ran out, and it is not registered')
 
     def _check_lapse(self, why: str) -> None:
         now = self.monotonic()
-        if self.worker.tasks and now > self.worker.lapses_at:
+        if self.worker.tasks and now > self.worker.leases_expire_at:
             self.events.take_lapse(
                 self.worker,
                 self.cluster.end_worker_tasks(self.worker, now),
@@ -164,9 +164,11 @@
 
     def _choose_wait(self) -> float:
         worker = self.worker
-        if worker.is_told_silent or (worker.tasks and not worker.takes_orders):
+        if worker.is_reported_unreachable or (
+            worker.tasks and not worker.answers_commands
+        ):
             return DOUBT_LOOK_SECONDS
-        serves = any(t.serves for t in self.worker.tasks.values())
+        serves = any(t.is_serving for t in self.worker.tasks.values())
         fills = any(t.spec.fills for t in self.worker.tasks.values())
         return POLL_SECONDS if serves and fills else QUIET_LOOK_SECONDS
 
@@ -181,7 +183,7 @@
 
     def _may_renew(self) -> bool:
         worker = self.worker
-        is_kept = worker.keeps_leases and not worker.is_told_silent
+        is_kept = worker.renews_leases and not worker.is_reported_unreachable
         return worker.reachable and is_kept and self.events.may_renew()
 
     def choose_lease_end(self) -> int:
@@ -222,7 +224,7 @@
         left = (self._last_until_ms - self._clock_ms) / 1000
         end = self._clock_at + left / CLOCK_RATE + LAPSE_MARGIN_SECONDS
         # The previous owner's leases may be longer than a start's.
-        self.worker.lapses_at = max(end, self._inherited_end)
+        self.worker.leases_expire_at = max(end, self._inherited_end)
 
     def note_clock(self, clock_ms: int | None) -> None:
         """Takes in a worker's clock from any answer."""
@@ -247,16 +249,16 @@
         if verdict is Verdict.REFUSED:
             return
         is_answered = verdict is not Verdict.UNKNOWN
-        if is_answered and not worker.takes_orders:
+        if is_answered and not worker.answers_commands:
             log.info('Takes orders again.', extra={'worker': worker.id})
-        elif worker.takes_orders and not is_answered:
+        elif worker.answers_commands and not is_answered:
             log.warning('Answers no orders.', extra={'worker': worker.id})
-        worker.takes_orders = is_answered
+        worker.answers_commands = is_answered
 
     def _trust_orders(self) -> None:
         """Forgets orders that were lost while the worker was not heard."""
         worker = self.worker
-        worker.takes_orders = worker.keeps_leases = True
+        worker.answers_commands = worker.renews_leases = True
         worker.stop_unanswered_since = math.inf
 
     def note_stop(self, is_taken: bool, sent_at: float) -> None:
@@ -276,13 +278,13 @@
         ):
             self.restart('it restarted')
         self._started_ms = report.started_ms
-        if not worker.reached:
+        if not worker.has_answered:
             self._bound_inherited()
-        if not worker.reached or not worker.reachable:
+        if not worker.has_answered or not worker.reachable:
             log.info('Reached.', extra={'worker': worker.id})
             self._trust_orders()
-        worker.reached = worker.reachable = True
-        worker.is_missed = False
+        worker.has_answered = worker.reachable = True
+        worker.has_missed_poll = False
         self.note_clock(report.clock_ms)
         fresh = tuple(e for e in report.ended if e.number > self.received)
         result = Reconciler(self.cluster).reconcile(
@@ -296,11 +298,11 @@
 
     def _bound_inherited(self) -> None:
         """Notes when unknown leases end: none is given there by others now."""
-        if self.worker.lapses_at:
+        if self.worker.leases_expire_at:
             return
         longest = self.lease_seconds / CLOCK_RATE + LAPSE_MARGIN_SECONDS
         self._inherited_end = self.monotonic() + longest
-        self.worker.lapses_at = self._inherited_end
+        self.worker.leases_expire_at = self._inherited_end
 
     def note_registration(self, started_ms: int) -> None:
         """Takes in that the worker registered a new life.
@@ -345,6 +347,6 @@
                 extra={'worker': self.worker.id},
             )
         self.worker.reachable = False
-        self.worker.is_missed = True
+        self.worker.has_missed_poll = True
         self._check_lapse('it could not be reached until its leases ran out')
         await asyncio.sleep(RETRY_SECONDS)
--- a/lentilmount/control/orders.py
+++ b/lentilmount/control/orders.py
@@ -63,12 +63,12 @@
 
     def pace(self, task: Task, percent: int) -> None:
         """Lets a task work for a share of the time only."""
-        task.percent_before = task.percent
-        task.percent = percent
-        task.paced_at = self.monotonic()
+        task.previous_cpu_percent = task.cpu_percent
+        task.cpu_percent = percent
+        task.throttled_at = self.monotonic()
         worker = self.cluster.workers.get(task.worker)
         if worker is not None:
-            worker.changes += 1
+            worker.change_count += 1
         self.start_task(self._pace(task, task.run, percent))
 
     def stop_stale_run(self, stale_run: StaleRun) -> None:
@@ -134,7 +134,7 @@
             return
         worker = self.cluster.workers.get(task.worker)
         if worker is not None and verdict is Verdict.REFUSED:
-            worker.closed_until = self.monotonic() + FORGET_SECONDS
+            worker.quarantined_until = self.monotonic() + FORGET_SECONDS
         self.cluster.reject_start(task, run)
         self.wake()
 
@@ -186,7 +186,7 @@
     def _is_silent(self, link: Link) -> bool:
         worker = link.worker
         is_known = self.links.get(worker.id) is link and worker.reachable
-        return is_known and not worker.takes_orders
+        return is_known and not worker.answers_commands
 
     async def _stop_stale_run(self, stale_run: StaleRun) -> None:
         link = self.links.get(stale_run.worker)
@@ -200,7 +200,7 @@
         if link is None:
             return
         pause = RETRY_SECONDS
-        while task.run == run and task.percent == percent:
+        while task.run == run and task.cpu_percent == percent:
             if not task.phase.is_placed:
                 return
             answer = await self.calls.pace(
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -231,7 +231,7 @@
         for worker_id in told.remaining if told.are_withheld else ():
             worker = self.cluster.workers.get(worker_id)
             if worker is not None:
-                worker.is_told_silent = True
+                worker.is_reported_unreachable = True
 
     def list_remaining(self) -> dict[str, float]:
         """Lists for how long leases may still run on workers."""
@@ -307,8 +307,8 @@
 
     def _miss(self, worker_id: str) -> None:
         worker = self.cluster.workers.get(worker_id)
-        if worker is not None and worker.present:
-            worker.present = False
+        if worker is not None and worker.is_registered:
+            worker.is_registered = False
             log.warning(
                 'Worker is no longer registered.', extra={'worker': worker_id}
             )
@@ -368,7 +368,7 @@
     def take_news(self, worker: Worker, result: ReconcileResult) -> None:
         """See `Events`."""
         self._steering.take_news(worker, result, self._clock.monotonic())
-        if worker.is_told_silent:
+        if worker.is_reported_unreachable:
             self._commits.note_change()
         if result.ended or result.adopted or result.expired:
             self._wake.set()
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/steering.py
@@ -125,11 +125,11 @@
         for task, percent in Pacer(self.sharing).plan(worker, now).items():
             log.info(
                 'Pace {} to {}.',
-                task.percent,
+                task.cpu_percent,
                 percent,
                 extra={'task': str(task.id), 'worker': worker.id},
             )
-            self.metrics.count_pace(percent < task.percent)
+            self.metrics.count_pace(percent < task.cpu_percent)
             if percent == 0:
                 self._halted.setdefault(task, now)
             else:
--- a/lentilmount/scheduling/cluster.py
+++ b/lentilmount/scheduling/cluster.py
@@ -33,7 +33,7 @@
 """
 
 
-def measure_chains(spec: JobSpec) -> tuple[float, ...]:
+def measure_critical_paths(spec: JobSpec) -> tuple[float, ...]:
     """Returns for each step the seconds of the longest chain it begins."""
     longest = [step.estimated_seconds for step in spec.steps]
     for number in reversed(range(len(spec.steps))):
@@ -70,8 +70,8 @@
         # An acceptance stamped by another host's clock may lie ahead of ours.
         age = min(max(0.0, wall - spec.accepted), 3600.0)
         job = Job(spec, accepted_at=now - age)
-        job.chains = measure_chains(spec)
-        chain = max(job.chains, default=0.0)
+        job.critical_paths = measure_critical_paths(spec)
+        chain = max(job.critical_paths, default=0.0)
         job.objective = spec.queue.stretch * chain + spec.queue.target_seconds
         self.jobs[spec.id] = job
         self.open_occurrences(job, wall)
@@ -153,7 +153,7 @@
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             name = job.spec.queue.name
-            waits = not job.has_begun and not job.state.is_final
+            waits = not job.has_started and not job.state.is_final
             counts[name] = counts.get(name, 0) + waits
         return counts
 
@@ -182,18 +182,18 @@
         task.start_deadline_ms = 0
         task.start_expired_at = math.inf
         task.stopped_at = math.inf
-        task.percent = task.percent_before = 100
+        task.cpu_percent = task.previous_cpu_percent = 100
         task.usage = None
         task.idle_since = math.inf
         worker.add(task)
         self.ready.pop(task.id, None)
-        if not task.job.has_started:
-            task.job.started_at = now
+        if not task.job.was_placed:
+            task.job.first_placed_at = now
         self.mark_placed(task.job)
 
     def mark_placed(self, job: Job) -> None:
         """Notes that a task of a job was placed."""
-        job.has_started = True
+        job.was_placed = True
         self.dirty[job.spec.id] = None
 
     def mark_started(self, job: Job) -> None:
@@ -202,7 +202,7 @@
         Only then is the job shown as running: a start that was sent may never
         be carried out.
         """
-        job.has_begun = True
+        job.has_started = True
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
             self.dirty[job.spec.id] = None
@@ -248,9 +248,9 @@
           Tasks that must be stopped because of it.
         """
         worker = task.worker
-        task.lost_at = now
+        task.last_ended_at = now
         if task.spec.fills and worker in self.workers:
-            share = measure_intensity(task) * task.percent / 100
+            share = measure_intensity(task) * task.cpu_percent / 100
             left = EndedTask(task.spec.image, share, now)
             self.workers[worker].record_ended_task(left)
         self.requeue(task)
@@ -337,7 +337,7 @@
 
     def restore_done(self, task: Task, now: float) -> None:
         """Takes over from a row that a task is done."""
-        task.job.has_begun = True
+        task.job.has_started = True
         self._mark_done(task, now)
 
     def restore_placed(self, task: Task, worker: Worker) -> None:
@@ -346,7 +346,7 @@
         task.worker = worker.id
         worker.add(task)
         self.ready.pop(task.id, None)
-        task.job.has_started = True
+        task.job.was_placed = True
 
     # Workers.
 
@@ -360,7 +360,7 @@
             worker = Worker(entry)
             self.workers[entry.id] = worker
         worker.entry = entry
-        worker.present = True
+        worker.is_registered = True
         return worker
 
     def end_worker_tasks(self, worker: Worker, now: float) -> list[Task]:
--- a/lentilmount/scheduling/consolidation.py
+++ b/lentilmount/scheduling/consolidation.py
@@ -118,7 +118,7 @@
             tasks = tuple(
                 task
                 for task in view.worker.tasks.values()
-                if task.serves and task.spec.image == image
+                if task.is_serving and task.spec.image == image
             )
             if len(tasks) > MOST_TOGETHER:
                 continue
@@ -189,5 +189,5 @@
 
 
 def _is_settled(task: Task, now: float) -> bool:
-    is_there = task.phase is TaskPhase.RUNNING and task.percent == 100
+    is_there = task.phase is TaskPhase.RUNNING and task.cpu_percent == 100
     return is_there and now - task.confirmed_at >= SETTLED_SECONDS
--- a/lentilmount/scheduling/costs.py
+++ b/lentilmount/scheduling/costs.py
@@ -96,15 +96,15 @@
             price += SAME_JOB_COST * hosts[worker.id]
             price += SAME_RACK_COST * racks[worker.rack]
             price += SAME_ZONE_COST * zones[worker.entry.zone]
-            price += SLOW_COST * (worker.pace - 1)
-            if task.serves:
+            price += SLOW_COST * (worker.slowdown - 1)
+            if task.is_serving:
                 price += self._measure_serving_cost(task, view)
             return price
 
         return cost
 
     def _measure_serving_cost(self, task: Task, view: WorkerView) -> float:
-        price = 0.0 if view.serves else OPEN_COST
+        price = 0.0 if view.is_serving else OPEN_COST
         others = view.utilisation.keys() - {task.spec.image}
         price += OTHER_IMAGE_COST * len(others)
         beside = count_fills(view.worker)
@@ -124,14 +124,14 @@
             if crowding > MOST_CROWDED:
                 return math.inf
             price = EMPTY_COST
-            if view.serves:
+            if view.is_serving:
                 interference = self.sharing.measure_interference(
                     view.utilisation, image
                 )
                 price = INTERFERENCE_COST * interference
             price += CROWDED_COST * crowding
             price += _measure_distance(task, view.worker)
-            return price + SLOW_COST * (view.worker.pace - 1)
+            return price + SLOW_COST * (view.worker.slowdown - 1)
 
         return cost
 
@@ -141,7 +141,7 @@
     capacity = max(1.0, worker.entry.capacity.cores)
     price = (view.free.cores - task.spec.demand.cores) / capacity
     price += _measure_distance(task, worker)
-    return price + SLOW_COST * (worker.pace - 1)
+    return price + SLOW_COST * (worker.slowdown - 1)
 
 
 def _measure_distance(task: Task, worker: Worker) -> float:
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -82,7 +82,7 @@
           views: The workers that take new work.
           now: Monotonic time.
         """
-        since = min(max(t.lost_at, t.job.accepted_at) for t in step)
+        since = min(max(t.last_ended_at, t.job.accepted_at) for t in step)
         if now - since >= KEEP_SECONDS:
             return False
         free = sum(view.free.cores for view in views)
--- a/lentilmount/scheduling/health.py
+++ b/lentilmount/scheduling/health.py
@@ -63,7 +63,7 @@
         """Takes in an end; returns whether the worker was closed for it."""
         if kind is EndKind.DONE:
             self._failures.pop(worker.id, None)
-            worker.on_trial = False
+            worker.on_probation = False
             self._measure_pace(worker, task, now)
         # An end of the previous owner's time says nothing of the worker now,
         # and all of them come at once.
@@ -71,7 +71,7 @@
             return False
         jobs = self._failures.setdefault(worker.id, set())
         jobs.add(task.id.job)
-        if len(jobs) < FAILING_JOBS and not worker.on_trial:
+        if len(jobs) < FAILING_JOBS and not worker.on_probation:
             return False
         jobs.clear()
         self.close(worker, now)
@@ -79,18 +79,18 @@
 
     def close(self, worker: Worker, now: float) -> None:
         """Closes a worker for a while; one task will try it afterwards."""
-        worker.closed_until = now + CLOSED_SECONDS
-        worker.on_trial = True
+        worker.quarantined_until = now + CLOSED_SECONDS
+        worker.on_probation = True
 
     def end_trials(self, workers: list[Worker], now: float) -> None:
         """Trusts the workers on which a task has run well for a while."""
         for worker in workers:
-            if worker.on_trial and _has_proved(worker, now):
-                worker.on_trial = False
+            if worker.on_probation and _has_proved(worker, now):
+                worker.on_probation = False
 
     def may_close(self, workers: list[Worker], now: float) -> bool:
         """Tells whether one more worker may be closed."""
-        closed = sum(w.closed_until > now for w in workers)
+        closed = sum(w.quarantined_until > now for w in workers)
         return closed < MOST_CLOSED * len(workers)
 
     def review_leases(
@@ -108,15 +108,15 @@
         left: list[Worker] = []
         kept: list[Worker] = []
         most = MOST_CLOSED * len(workers)
-        count = sum(not worker.keeps_leases for worker in workers)
+        count = sum(not worker.renews_leases for worker in workers)
         for worker in workers:
             is_overdue = _is_stop_overdue(worker, now)
-            if worker.keeps_leases and is_overdue and count < most:
-                worker.keeps_leases = False
+            if worker.renews_leases and is_overdue and count < most:
+                worker.renews_leases = False
                 count += 1
                 left.append(worker)
-            elif not worker.keeps_leases and not is_overdue:
-                worker.keeps_leases = True
+            elif not worker.renews_leases and not is_overdue:
+                worker.renews_leases = True
                 kept.append(worker)
         return left, kept
 
@@ -126,13 +126,13 @@
             return
         took = (now - task.placed_at) / estimate
         took = min(LONGEST_PACE, max(1.0, took))
-        worker.pace += PACE_GAIN * (took - worker.pace)
+        worker.slowdown += PACE_GAIN * (took - worker.slowdown)
 
 
 def _has_proved(worker: Worker, now: float) -> bool:
     return any(
         task.phase is TaskPhase.RUNNING
-        and task.placed_at >= worker.closed_until
+        and task.placed_at >= worker.quarantined_until
         and now - task.confirmed_at > TRIAL_SECONDS
         and now - task.idle_since <= 0
         for task in worker.tasks.values()
--- a/lentilmount/scheduling/inheritance.py
+++ b/lentilmount/scheduling/inheritance.py
@@ -40,7 +40,7 @@
         if self.is_written or now > self.until:
             return False
         return any(
-            not worker.reached for worker in self.cluster.workers.values()
+            not worker.has_answered for worker in self.cluster.workers.values()
         )
 
     def get_left(self, now: float) -> float | None:
@@ -108,9 +108,9 @@
       Seconds by the worker's id; nothing of workers whose leases are unknown.
     """
     return {
-        worker.id: max(0.0, worker.lapses_at - now)
+        worker.id: max(0.0, worker.leases_expire_at - now)
         for worker in cluster.workers.values()
-        if worker.tasks and worker.lapses_at
+        if worker.tasks and worker.leases_expire_at
     }
 
 
@@ -133,7 +133,7 @@
 
 def is_silent(worker: Worker) -> bool:
     """Tells whether a worker does not answer, as far as owners know."""
-    is_missed = worker.is_missed or worker.is_told_silent
+    is_missed = worker.has_missed_poll or worker.is_reported_unreachable
     return is_missed and not worker.reachable
 
 
@@ -153,6 +153,6 @@
     """
     for worker_id, seconds in remaining.items():
         worker = cluster.workers.get(worker_id)
-        if worker is not None and not worker.reached:
+        if worker is not None and not worker.has_answered:
             until = now + seconds * (1 + drift)
-            worker.lapses_at = min(worker.lapses_at, until)
+            worker.leases_expire_at = min(worker.leases_expire_at, until)
--- a/lentilmount/scheduling/model.py
+++ b/lentilmount/scheduling/model.py
@@ -68,13 +68,13 @@
       start_expired_at: Monotonic time at which that was surely past.
       stopped_at: Monotonic time at which its worker had surely begun to
         stop it.
-      percent: Share of the time in which we let it work.
-      percent_before: The same before it was changed last.
-      paced_at: Monotonic time of that change.
+      cpu_percent: Share of the time in which we let it work.
+      previous_cpu_percent: The same before it was changed last.
+      throttled_at: Monotonic time of that change.
       usage: Newest figure: tail in ms if it serves, else thousandths of a
         core in use.
       idle_since: Monotonic time since which it has used no processor.
-      lost_at: Monotonic time of its last end; lasting tasks must be back
+      last_ended_at: Monotonic time of its last end; lasting tasks must be back
         soon after.
     """
 
@@ -93,15 +93,15 @@
     start_deadline_ms: int = 0
     start_expired_at: float = math.inf
     stopped_at: float = math.inf
-    percent: int = 100
-    percent_before: int = 100
-    paced_at: float = 0.0
+    cpu_percent: int = 100
+    previous_cpu_percent: int = 100
+    throttled_at: float = 0.0
     usage: float | None = None
     idle_since: float = math.inf
-    lost_at: float = 0.0
+    last_ended_at: float = 0.0
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether it has a tail target of its own."""
         return self.spec.target_ms > 0
 
@@ -128,9 +128,9 @@
 
 def measure_intensity(task: Task) -> float:
     """Returns how much a filling task interferes now, 1 for a busy spell."""
-    if task.usage is None or task.percent < LEAST_SHOWN_PERCENT:
+    if task.usage is None or task.cpu_percent < LEAST_SHOWN_PERCENT:
         return MEAN_INTENSITY
-    allowed = 10 * task.spec.demand.cores * task.percent
+    allowed = 10 * task.spec.demand.cores * task.cpu_percent
     used = task.usage / allowed if allowed else BUSY_USAGE
     place = (used - QUIET_USAGE) / (BUSY_USAGE - QUIET_USAGE)
     place = min(1.0, max(0.0, place))
@@ -148,16 +148,16 @@
       tasks: Its tasks, those of occurrences that are due.
       occurrences: How many occurrences have tasks.
       objective: Seconds in which it should be completed.
-      chains: For each step, the seconds of the longest chain it begins.
+      critical_paths: For each step, the seconds of the longest chain it begins.
       version: Version of its state's row; 0 before the first write.
       row_version: Version of its own row.
       cancel_version: Version of its cancellation's row, if there is one.
       ended_at: Monotonic time at which it ended, as far as it is known.
       remaining: Tasks of each (occurrence, step) that are not done.
-      has_started: Whether any task was placed.
-      has_begun: Whether a worker has surely begun any task.
-      started_at: Monotonic time of the first start by this owner.
-      is_told: Whether its end was logged, here or by an earlier owner.
+      was_placed: Whether any task was placed.
+      has_started: Whether a worker has surely begun any task.
+      first_placed_at: Monotonic time of the first start by this owner.
+      is_end_logged: Whether its end was logged, here or by an earlier owner.
     """
 
     spec: JobSpec
@@ -166,16 +166,16 @@
     tasks: dict[TaskId, Task] = attrs.Factory(dict)
     occurrences: int = 0
     objective: float = math.inf
-    chains: tuple[float, ...] = ()
+    critical_paths: tuple[float, ...] = ()
     version: int = 0
     row_version: int = 0
     cancel_version: int = 0
     ended_at: float = math.inf
     remaining: dict[tuple[int, int], int] = attrs.Factory(dict)
+    was_placed: bool = False
     has_started: bool = False
-    has_begun: bool = False
-    started_at: float = math.inf
-    is_told: bool = False
+    first_placed_at: float = math.inf
+    is_end_logged: bool = False
 
 
 @attrs.frozen
@@ -200,43 +200,45 @@
     Attributes:
       entry: Its newest registration.
       tasks: Tasks that it runs or may run, those being stopped included.
-      reached: Whether it has answered this owner.
+      has_answered: Whether it has answered this owner.
       reachable: Whether its last look was answered.
-      is_missed: Whether a look at it got no answer since it last answered.
-      is_told_silent: Whether the service's lease may tell the next owner that
-        its leases are no longer renewed.
-      takes_orders: Whether its last order was answered.
+      has_missed_poll: Whether a look at it got no answer since it last
+        answered.
+      is_reported_unreachable: Whether the service's lease may tell the next
+        owner that its leases are no longer renewed.
+      answers_commands: Whether its last order was answered.
       stop_unanswered_since: Monotonic time since which it has answered no
         order while a stop is asked of it; infinity if none is.
-      keeps_leases: Whether its leases may be renewed.
-      present: Whether it is registered now.
-      opaque: Whether it runs something that this owner does not know.
+      renews_leases: Whether its leases may be renewed.
+      is_registered: Whether it is registered now.
+      runs_unknown_tasks: Whether it runs something that this owner does not
+        know.
       has_stale_runs: Whether it runs something that should not be there.
-      lapses_at: Monotonic time by which all leases there have run out; 0 if
-        none is known.
-      closed_until: Monotonic time until which it gets no work.
-      on_trial: Whether it gets one task to try it.
-      pace: How long tasks take there, as a multiple of what was expected.
-      changes: Raised whenever its tasks or what is known of them change.
+      leases_expire_at: Monotonic time by which all leases there have run out;
+        0 if none is known.
+      quarantined_until: Monotonic time until which it gets no work.
+      on_probation: Whether it gets one task to try it.
+      slowdown: How long tasks take there, as a multiple of what was expected.
+      change_count: Raised whenever its tasks or what is known of them change.
     """
 
     entry: WorkerEntry
     tasks: dict[TaskId, Task] = attrs.Factory(dict)
-    reached: bool = False
+    has_answered: bool = False
     reachable: bool = False
-    is_missed: bool = False
-    is_told_silent: bool = False
-    takes_orders: bool = True
+    has_missed_poll: bool = False
+    is_reported_unreachable: bool = False
+    answers_commands: bool = True
     stop_unanswered_since: float = math.inf
-    keeps_leases: bool = True
-    present: bool = True
-    opaque: bool = False
+    renews_leases: bool = True
+    is_registered: bool = True
+    runs_unknown_tasks: bool = False
     has_stale_runs: bool = False
-    lapses_at: float = 0.0
-    closed_until: float = 0.0
-    on_trial: bool = False
-    pace: float = 1.0
-    changes: int = 0
+    leases_expire_at: float = 0.0
+    quarantined_until: float = 0.0
+    on_probation: bool = False
+    slowdown: float = 1.0
+    change_count: int = 0
     _used: Room | None = None
     _left: list[EndedTask] = attrs.Factory(list)
 
@@ -266,20 +268,21 @@
         """Takes in a task that runs or will run here."""
         self.tasks[task.id] = task
         self._used = None
-        self.changes += 1
+        self.change_count += 1
 
     def remove(self, task: Task) -> None:
         """Takes out a task that surely no longer runs here."""
         if self.tasks.get(task.id) is task:
             del self.tasks[task.id]
             self._used = None
-            self.changes += 1
+            self.change_count += 1
 
     @property
-    def is_tried(self) -> bool:
+    def is_being_tested(self) -> bool:
         """Whether a task was placed here since it was closed."""
         return any(
-            task.placed_at >= self.closed_until for task in self.tasks.values()
+            task.placed_at >= self.quarantined_until
+            for task in self.tasks.values()
         )
 
     def record_ended_task(self, left: EndedTask) -> None:
--- a/lentilmount/scheduling/pacing.py
+++ b/lentilmount/scheduling/pacing.py
@@ -47,7 +47,7 @@
     def plan(self, worker: Worker, now: float) -> dict[Task, int]:
         """Decides which filling tasks get how many percent from now on."""
         wanted = {
-            task: task.percent
+            task: task.cpu_percent
             for task in worker.tasks.values()
             if task.spec.fills
         }
@@ -56,13 +56,13 @@
         served = [
             task
             for task in worker.tasks.values()
-            if task.serves and task.usage is not None
+            if task.is_serving and task.usage is not None
         ]
         if any(
             self._sharing.get_seconds_over(task, now) >= HALT_AFTER_SECONDS
             for task in served
         ):
-            return {fill: 0 for fill in wanted if fill.percent}
+            return {fill: 0 for fill in wanted if fill.cpu_percent}
         calm = True
         for task in served:
             excess = self._measure_now(task, wanted)
@@ -71,7 +71,7 @@
                 self._slow_down(task, excess - PACE_TO, wanted)
         if calm:
             self._speed_up(served, wanted)
-        return {t: p for t, p in wanted.items() if p != t.percent}
+        return {t: p for t, p in wanted.items() if p != t.cpu_percent}
 
     def _measure_now(self, task: Task, wanted: dict[Task, int]) -> float:
         """Returns the utilisation to expect if nothing is changed.
--- a/lentilmount/scheduling/ranking.py
+++ b/lentilmount/scheduling/ranking.py
@@ -84,14 +84,14 @@
 
 def is_new(task: Task) -> bool:
     """Tells whether a lasting task has never run."""
-    return task.spec.lasting and not task.run and not task.lost_at
+    return task.spec.lasting and not task.run and not task.last_ended_at
 
 
 def is_away(task: Task, now: float) -> bool:
     """Tells whether a lasting task has run and been away for too long."""
-    if not task.lost_at or not task.spec.lasting:
+    if not task.last_ended_at or not task.spec.lasting:
         return False
-    return now - task.lost_at >= AWAY_SECONDS
+    return now - task.last_ended_at >= AWAY_SECONDS
 
 
 def rank_task(task: Task, now: float) -> Rank:
@@ -108,12 +108,12 @@
             -task.spec.demand.cores,
         )
     outlook = find_outlook(task, now)
-    due = _get_start(task) + job.objective - job.chains[task.id.step]
+    due = _get_start(task) + job.objective - job.critical_paths[task.id.step]
     if is_urgent(task) and outlook is Outlook.IN_TIME:
         return Turn.URGENT, (due,)
     first = (job.spec.queue.priority, outlook)
     if task.spec.fills:
-        return Turn.OTHER, (*first, not job.has_started, measure_work(job))
+        return Turn.OTHER, (*first, not job.was_placed, measure_work(job))
     return Turn.OTHER, (*first, False, due)
 
 
@@ -146,7 +146,7 @@
 def find_outlook(task: Task, now: float) -> Outlook:
     """Tells how a task's job can still end if the task starts now."""
     objective = task.job.objective
-    end = now + task.job.chains[task.id.step] - _get_start(task)
+    end = now + task.job.critical_paths[task.id.step] - _get_start(task)
     if end <= objective:
         return Outlook.IN_TIME
     if end <= USEFUL_MULTIPLE * objective:
--- a/lentilmount/scheduling/reconciliation.py
+++ b/lentilmount/scheduling/reconciliation.py
@@ -83,9 +83,9 @@
                 continue
             self._cluster.end_run(task, EndKind.LAPSED, now)
             result.ended.append((task, EndKind.LAPSED))
-        worker.opaque = bool(result.unknown_tasks)
+        worker.runs_unknown_tasks = bool(result.unknown_tasks)
         worker.has_stale_runs = bool(result.stale_runs)
-        worker.changes += 1
+        worker.change_count += 1
         return result
 
     def _list_vanished(
@@ -157,7 +157,7 @@
             self._cluster.dirty[task.job.spec.id] = None
         if task.job.state.is_final:
             return
-        task.job.has_started = True
+        task.job.was_placed = True
         if task.spec.lasting:
             return
         is_new = end.run not in task.failed_runs
@@ -231,7 +231,7 @@
             task.idle_since = math.inf
 
     def _stands_still(self, task: Task) -> bool:
-        if task.serves or task.usage is None or task.percent == 0:
+        if task.is_serving or task.usage is None or task.cpu_percent == 0:
             return False
-        allowed = 1000 * task.spec.demand.cores * task.percent / 100
+        allowed = 1000 * task.spec.demand.cores * task.cpu_percent / 100
         return task.usage < IDLE_USAGE * allowed
--- a/lentilmount/scheduling/rows.py
+++ b/lentilmount/scheduling/rows.py
@@ -99,13 +99,13 @@
         if task is not None:
             _restore_task(cluster, task, entry, lapses_at, now)
     if state.is_final:
-        job.is_told = True
+        job.is_end_logged = True
         cluster.finish_job(job, state, now)
     else:
         job.state = state
     has_begun = state is not JobState.QUEUED
-    job.has_begun |= has_begun
     job.has_started |= has_begun
+    job.was_placed |= has_begun
     cluster.dirty.pop(job.spec.id, None)
 
 
@@ -142,7 +142,7 @@
     checkpoint = rest[1] if len(rest) > 1 else ''
     task.failed_runs = set(failed_runs)
     task.checkpoint = checkpoint
-    task.job.has_begun |= bool(failed_runs or checkpoint)
+    task.job.has_started |= bool(failed_runs or checkpoint)
     task.run = run
     task.skipped = RUN_MARGIN
     if worker:
@@ -150,12 +150,12 @@
         if known is None:
             known = make_unregistered(worker)
             cluster.workers[worker] = known
-        if not known.reached:
-            known.lapses_at = max(known.lapses_at, lapses_at)
+        if not known.has_answered:
+            known.leases_expire_at = max(known.leases_expire_at, lapses_at)
         cluster.restore_placed(task, known)
 
 
 def make_unregistered(worker: str) -> Worker:
     """Builds a worker that only a row speaks of, to wait for its leases."""
     entry = WorkerEntry(worker, 0, '', '', '', WorkerState.DRAINING, Room(), ())
-    return Worker(entry, present=False)
+    return Worker(entry, is_registered=False)
--- a/lentilmount/scheduling/sharing.py
+++ b/lentilmount/scheduling/sharing.py
@@ -164,7 +164,7 @@
         """Takes in the newest figures of a worker."""
         beside = _count_past(worker, now)
         for task in worker.tasks.values():
-            if task.serves and task.usage is not None:
+            if task.is_serving and task.usage is not None:
                 self._learn(task, beside, now)
 
     def _learn(self, task: Task, beside: dict[str, float], now: float) -> None:
@@ -323,8 +323,10 @@
         if not task.spec.fills:
             continue
         there = min(1.0, max(0.0, (now - task.placed_at) / FIGURE_SECONDS))
-        paced = min(1.0, max(0.0, (now - task.paced_at) / FIGURE_SECONDS))
-        percent = paced * task.percent + (1 - paced) * task.percent_before
+        paced = min(1.0, max(0.0, (now - task.throttled_at) / FIGURE_SECONDS))
+        percent = (
+            paced * task.cpu_percent + (1 - paced) * task.previous_cpu_percent
+        )
         share = measure_intensity(task) * there * percent / 100
         if share > 0:
             image = task.spec.image
--- a/lentilmount/scheduling/views.py
+++ b/lentilmount/scheduling/views.py
@@ -59,7 +59,7 @@
     _changes: int = -1
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether some task there serves."""
         return bool(self.utilisation)
 
@@ -68,12 +68,13 @@
         """Whether something has changed at the worker itself."""
         worker = self.worker
         return (
-            self._changes != worker.changes or self._entry is not worker.entry
+            self._changes != worker.change_count
+            or self._entry is not worker.entry
         )
 
     def renew(self, sharing: Sharing) -> None:
         """Works everything out from the worker's tasks."""
-        self._changes = self.worker.changes
+        self._changes = self.worker.change_count
         self._entry = self.worker.entry
         self.is_over = any(map(sharing.is_over, self.worker.tasks.values()))
         worker = self.worker
@@ -95,10 +96,10 @@
         if task.spec.lasting and task.phase is not TaskPhase.STOPPING:
             self.soon = self.soon.subtract(task.spec.reserved)
         if task.spec.fills:
-            self.filling_cores += cores * task.percent / 100
+            self.filling_cores += cores * task.cpu_percent / 100
             return
-        self.spare_cores -= cores * (SERVING_LOAD if task.serves else 1.0)
-        if task.serves:
+        self.spare_cores -= cores * (SERVING_LOAD if task.is_serving else 1.0)
+        if task.is_serving:
             image = task.spec.image
             expected = sharing.predict_place(task, beside)
             known = self.utilisation.get(image, 0.0)
@@ -113,7 +114,7 @@
         spec = task.spec
         if spec.label and spec.label not in self.worker.entry.labels:
             return False
-        if self.worker.on_trial and self.worker.is_tried:
+        if self.worker.on_probation and self.worker.is_being_tested:
             return False
         most = spec.most_per_worker
         return not most or self.same_step[get_step(task)] < most
@@ -165,13 +166,13 @@
 def is_open(worker: Worker, now: float) -> bool:
     """Tells whether a worker takes new work at all."""
     return (
-        worker.present
+        worker.is_registered
         and worker.reachable
-        and worker.takes_orders
-        and not worker.is_told_silent
-        and not worker.opaque
+        and worker.answers_commands
+        and not worker.is_reported_unreachable
+        and not worker.runs_unknown_tasks
         and worker.entry.state is WorkerState.READY
-        and now >= worker.closed_until
+        and now >= worker.quarantined_until
     )
 
 
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -67,7 +67,7 @@
 def add_worker(cluster: ClusterState, name: str, **fields: Any) -> Worker:
     """Adds a worker that has answered."""
     worker = cluster.register_worker(make_entry(name, **fields))
-    worker.reached = worker.reachable = True
+    worker.has_answered = worker.reachable = True
     return worker
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -277,7 +277,7 @@
         worker, make_report(running=(running,)), 1.0, 1.0
     )
     assert result.unknown_tasks == [running.task]
-    assert worker.opaque
+    assert worker.runs_unknown_tasks
 
 
 def test_inherited_tasks_wait_while_starts_may_be_unwritten() -> None:
@@ -287,15 +287,15 @@
     admit(cluster, make_job('new'))
     add_worker(cluster, 'near')
     cut = add_worker(cluster, 'cut')
-    cut.reached = False
+    cut.has_answered = False
     doubt = Inheritance(cluster, False, 17.0, frozenset({'old'}))
     assert doubt.is_in_doubt(10.0)
     assert doubt.holds(find_task(cluster, 'old'))
     assert not doubt.holds(find_task(cluster, 'new'))
     assert not doubt.is_in_doubt(17.1)
-    cut.reached = True
+    cut.has_answered = True
     assert not doubt.is_in_doubt(10.0)
-    cut.reached = False
+    cut.has_answered = False
     assert not Inheritance(cluster, True, 17.0, frozenset()).is_in_doubt(10.0)
 
 
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -69,15 +69,15 @@
     )
     link.note_clock(1000)
     end = link.choose_lease_end()
-    lapses_at = worker.lapses_at
+    lapses_at = worker.leases_expire_at
     clock.advance(1.0)
     assert link.choose_lease_end() > end
-    assert worker.lapses_at > lapses_at
-    end, lapses_at = link.choose_lease_end(), worker.lapses_at
+    assert worker.leases_expire_at > lapses_at
+    end, lapses_at = link.choose_lease_end(), worker.leases_expire_at
     worker.reachable = False
     clock.advance(5.0)
     assert link.choose_lease_end() == end
-    assert worker.lapses_at == lapses_at
+    assert worker.leases_expire_at == lapses_at
 
 
 @attrs.define(eq=False)
@@ -212,15 +212,15 @@
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    worker.lapses_at = clock.monotonic() + LEASE_SECONDS
-    inherited = worker.lapses_at
+    worker.leases_expire_at = clock.monotonic() + LEASE_SECONDS
+    inherited = worker.leases_expire_at
     calls = SilentCalls(clock)
     link = Link(
         worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
     )
     link.note_clock(CLOCK_MS)
     link.choose_start_deadline()
-    assert worker.lapses_at >= inherited
+    assert worker.leases_expire_at >= inherited
 
 
 def test_leases_that_are_not_known_are_waited_for() -> None:
@@ -230,7 +230,7 @@
         clock = ManualClock()
         cluster = ClusterState()
         worker = add_worker(cluster, 'w')
-        worker.reached = worker.reachable = False
+        worker.has_answered = worker.reachable = False
         calls = SilentCalls(clock)
         calls.looks.append(make_report())
         events = Promise(clock, clock.monotonic())
@@ -239,10 +239,12 @@
         )
         begun_at = clock.monotonic()
         keeping = asyncio.create_task(link.run())
-        while not worker.reached:
+        while not worker.has_answered:
             await asyncio.sleep(0.0)
         keeping.cancel()
-        assert worker.lapses_at >= begun_at + CALL_SECONDS + LEASE_SECONDS
+        assert (
+            worker.leases_expire_at >= begun_at + CALL_SECONDS + LEASE_SECONDS
+        )
 
     run(play())
 
@@ -258,8 +260,8 @@
         lasting = find_task(cluster, 'lasts')
         lasting.run = 1
         cluster.restore_placed(lasting, worker)
-        worker.lapses_at = clock.monotonic() + LEASE_SECONDS
-        inherited = worker.lapses_at
+        worker.leases_expire_at = clock.monotonic() + LEASE_SECONDS
+        inherited = worker.leases_expire_at
         calls = SilentCalls(clock)
         calls.looks.append(make_report((make_running(lasting, 1),)))
         events = Promise(clock, clock.monotonic())
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -91,7 +91,7 @@
     admit(cluster, make_job('job'))
     run_task(cluster, find_task(cluster, 'job'), worker)
     worker.reachable = reachable
-    worker.lapses_at = lapses_at
+    worker.leases_expire_at = lapses_at
     return cluster, worker
 
 
@@ -127,11 +127,11 @@
 
 def test_what_was_told_only_shortens_the_wait_for_a_worker_not_heard() -> None:
     cluster, worker = make_placed(False, 15.0)
-    worker.reached = False
+    worker.has_answered = False
     shorten_leases(cluster, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
-    assert worker.lapses_at == 10.0 + 3.0 * 1.1
+    assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
     shorten_leases(cluster, {'w': 30.0}, 0.1, 10.0)
-    assert worker.lapses_at == 10.0 + 3.0 * 1.1
-    worker.reached = True
+    assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
+    worker.has_answered = True
     shorten_leases(cluster, {'w': 0.0}, 0.1, 10.0)
-    assert worker.lapses_at == 10.0 + 3.0 * 1.1
+    assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -46,7 +46,7 @@
     task = find_task(cluster, name)
     run_task(cluster, task, gone)
     cluster.end_run(task, EndKind.FAILED, LOST_AT)
-    gone.present = False
+    gone.is_registered = False
     return task
 
 
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -143,7 +143,7 @@
     """A worker not asked yet may hold any lease of the owner before."""
     cluster, worker = make_placed(False, 15.0)
     assert list_silent(cluster, 12.0) == {}
-    worker.is_missed = True
+    worker.has_missed_poll = True
     assert list_silent(cluster, 12.0) == {'w': 3.0}
     worker.reachable = True
     assert list_silent(cluster, 12.0) == {}
@@ -164,13 +164,13 @@
     link.note_clock(1000)
     end = link.choose_lease_end()
     told = list_remaining(cluster, clock.monotonic())
-    worker.is_told_silent = True
+    worker.is_reported_unreachable = True
     clock.advance(1.0)
     assert link.choose_lease_end() == end
     assert link.choose_start_deadline() == end
     assert list_remaining(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
     assert not is_open(worker, clock.monotonic())
-    worker.is_told_silent = False
+    worker.is_reported_unreachable = False
     assert link.choose_lease_end() > end
 
 
@@ -193,7 +193,7 @@
 def test_an_owner_in_doubt_tells_for_how_long() -> None:
     """An owner replaced while in doubt left a task that could run twice."""
     cluster, worker = make_placed(False, 15.0)
-    worker.reached = False
+    worker.has_answered = False
     doubt = Inheritance(cluster, False, 17.0, frozenset({'job'}))
     told = decode(describe(cluster, doubt, False, 12.0).encode(4), 4)
     assert told.is_unwritten
@@ -201,7 +201,7 @@
     own = decode(describe(cluster, doubt, True, 12.0).encode(4), 4)
     assert own.is_unwritten
     assert own.doubt is None
-    worker.reached = True
+    worker.has_answered = True
     assert not describe(cluster, doubt, False, 12.0).is_unwritten
 
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -72,9 +72,9 @@
     cluster = ClusterState()
     add_worker(cluster, 'leaving', state=WorkerState.DRAINING)
     add_worker(cluster, 'silent').reachable = False
-    add_worker(cluster, 'opaque').opaque = True
-    add_worker(cluster, 'closed').closed_until = 99.0
-    add_worker(cluster, 'gone').present = False
+    add_worker(cluster, 'opaque').runs_unknown_tasks = True
+    add_worker(cluster, 'closed').quarantined_until = 99.0
+    add_worker(cluster, 'gone').is_registered = False
     admit(cluster, make_job('a'))
     assert place(cluster) == []
 
@@ -202,7 +202,7 @@
     admit(cluster, make_job('due', large, policy=due))
     worker = add_worker(cluster, 'w')
     run_task(cluster, find_task(cluster, 'begun'), worker)
-    assert begun.has_started
+    assert begun.was_placed
     steps = sort_steps(cluster.ready.values(), now=0.1)
     assert [s[0].id.job for s in steps][:2] == ['begun', 'small']
 
@@ -297,7 +297,7 @@
     health = Health()
     health.close(worker, 10.0)
     admit(cluster, make_job('new', make_step(count=3, lasting=True)))
-    opened = worker.closed_until + 1.0
+    opened = worker.quarantined_until + 1.0
     placed = place(cluster, now=opened)
     assert len(placed) == 1
     task = placed[0][0]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -125,7 +125,7 @@
     sharing = Sharing()
     sharing.restore([['web', 'heavy', 0.1]])
     heavy = add_fill(cluster, worker, 'a', 'heavy')
-    heavy.percent = heavy.percent_before = 0
+    heavy.cpu_percent = heavy.previous_cpu_percent = 0
     for step in range(10):
         tell(sharing, worker, served, 0.3, 0.5 * step)
     assert Pacer(sharing).plan(worker, 5.0)[heavy] > 0
@@ -206,7 +206,7 @@
     assert measure_intensity(fill) == pytest.approx(1.0)
     fill.usage = 670 * fill.spec.demand.cores
     assert measure_intensity(fill) == pytest.approx(0.4)
-    fill.percent = 50
+    fill.cpu_percent = 50
     assert measure_intensity(fill) == pytest.approx(1.0)
     fill.usage = None
     assert 0.4 < measure_intensity(fill) < 1.0
--- a/tests/test_unanswered_orders.py
+++ b/tests/test_unanswered_orders.py
@@ -289,7 +289,7 @@
     assert health.review_leases(workers, 1.0 + STOP_SECONDS) == ([], [])
     left, _ = health.review_leases(workers, 1.1 + STOP_SECONDS)
     assert len(left) == MOST_CLOSED * len(workers)
-    assert [w for w in workers if not w.keeps_leases] == left
+    assert [w for w in workers if not w.renews_leases] == left
 
 
 def test_leases_are_renewed_at_a_worker_that_was_not_heard() -> None:
@@ -320,4 +320,4 @@
     for task in workers[0].tasks.values():
         task.phase = TaskPhase.RUNNING
     assert health.review_leases(workers, 2.0 + STOP_SECONDS) == ([], workers)
-    assert workers[0].keeps_leases
+    assert workers[0].renews_leases
