--- a/benchmarks/emulation.py
+++ b/benchmarks/emulation.py
@@ -21,6 +21,10 @@
 )
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
+from lentilmount.scheduling.interference import (
+    IDLE_TAIL_RATIO,
+    InterferenceModel,
+)
 from lentilmount.scheduling.model import (
     BUSY_USAGE,
     QUIET_USAGE,
@@ -30,8 +34,7 @@
     TaskPhase,
     Worker,
 )
-from lentilmount.scheduling.pacing import Pacer
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import (
     EndKind,
@@ -39,8 +42,8 @@
     RunReport,
     WorkerReport,
 )
-from lentilmount.scheduling.sharing import IDLE_RATIO, Sharing
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
+from lentilmount.scheduling.throttling import Throttler
 
 LOOK_SECONDS = 0.5
 TARGET_MS = 50.0
@@ -59,9 +62,9 @@
         self.load = load
         self.random = random.Random(seed)
         self.cluster = ClusterState()
-        self.sharing = Sharing()
-        self.placer = Placer(self.cluster, self.sharing)
-        self.pacer = Pacer(self.sharing)
+        self.interference_model = InterferenceModel()
+        self.placer = Placer(self.cluster, self.interference_model)
+        self.pacer = Throttler(self.interference_model)
         self.now = 0.0
         self.running: dict[str, dict[Task, Running]] = {}
         self.ends: dict[str, list[EndReport]] = {}
@@ -89,10 +92,12 @@
                 press[serving, filling] = value
         return press
 
-    def use_policy(self, sharing: Sharing, pacer: Pacer) -> None:
+    def use_policy(
+        self, interference_model: InterferenceModel, pacer: Throttler
+    ) -> None:
         """Plays another policy, to compare with."""
-        self.sharing = sharing
-        self.placer = Placer(self.cluster, sharing)
+        self.interference_model = interference_model
+        self.placer = Placer(self.cluster, interference_model)
         self.pacer = pacer
 
     # Hosts and jobs.
@@ -267,7 +272,7 @@
         )
         load = self._get_load(running)
         used = min(0.99, load + press)
-        ratio = min(MOST_RATIO, IDLE_RATIO / (1 - used))
+        ratio = min(MOST_RATIO, IDLE_TAIL_RATIO / (1 - used))
         running.ratios.append(ratio)
         if self.now >= self.load.seconds:
             return
@@ -306,9 +311,9 @@
             worker, report, self.now, self.now
         )
         for task, _ in result.ended:
-            self.sharing.forget(task)
+            self.interference_model.forget(task)
             self._halted.pop(task, None)
-        self.sharing.observe(worker, self.now)
+        self.interference_model.observe(worker, self.now)
         for task, percent in self.pacer.plan(worker, self.now).items():
             self._pace(task, percent)
 
@@ -349,7 +354,7 @@
         good = [pair for pair, value in self.press.items() if value < 0.02]
         known = {
             (serving, filling)
-            for serving, filling, mean in self.sharing.export()
+            for serving, filling, mean in self.interference_model.export()
             if mean < 0.03
         }
         if len(known & set(good)) >= 0.9 * len(good):
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -18,12 +18,12 @@
 from benchmarks.report import Report
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, JobState, Task, Worker
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reports import EndKind
-from lentilmount.scheduling.sharing import Sharing
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
-from lentilmount.scheduling.views import SERVING_LOAD
+from lentilmount.scheduling.views import SERVING_CPU_SHARE
 
 WINDOW_SECONDS = 1.0
 SEEDS = range(1, 6)
@@ -105,7 +105,7 @@
         self._random = random.Random(seed)
         self._failures = random.Random(seed)
         self._cluster = ClusterState()
-        self._placer = Placer(self._cluster, Sharing())
+        self._placer = Placer(self._cluster, InterferenceModel())
         self._left: dict[Task, float] = {}
         self._jobs: list[Job] = []
         self._now = 0.0
@@ -157,7 +157,7 @@
         return (most + free) / len(self.earned)
 
     def _list_windows(self, job: Job, scale: float) -> list[Item]:
-        work = _measure_cores(job) * SERVING_LOAD * WINDOW_SECONDS
+        work = _measure_cores(job) * SERVING_CPU_SHARE * WINDOW_SECONDS
         windows = range(len(self._list_capacity()))
         value = scale * WINDOW_SECONDS
         return [Item(work, value, window, window) for window in windows]
@@ -279,7 +279,7 @@
         if task.spec.fills:
             wanted += cores
         else:
-            used += cores * (SERVING_LOAD if task.spec.lasting else 1.0)
+            used += cores * (SERVING_CPU_SHARE if task.spec.lasting else 1.0)
     spare = max(0.0, worker.entry.capacity.cores - used)
     return min(1.0, spare / wanted) if wanted else 1.0
 
--- a/lentilmount/control/advice.py
+++ b/lentilmount/control/advice.py
@@ -17,7 +17,7 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.ranking import sort_steps
-from lentilmount.scheduling.views import get_step, is_open
+from lentilmount.scheduling.views import get_step_key, is_open
 
 log = logbook.Logger('advice')
 
@@ -76,7 +76,7 @@
 
     def get_ticket(self, task: Task, worker: Worker) -> str:
         """Returns a ticket that can still be used, or ''."""
-        known = self._known.get(get_step(task))
+        known = self._known.get(get_step_key(task))
         if known is None:
             return ''
         ticket, started_ms, until = known.tickets.get(worker.id, ('', 0, 0.0))
@@ -113,7 +113,7 @@
         )
 
     def _list_candidates(self, task: Task) -> list[Worker]:
-        known = self._known.get(get_step(task), _Known())
+        known = self._known.get(get_step_key(task), _Known())
         now = self.monotonic()
         able = [
             worker
@@ -131,7 +131,7 @@
         if self.calls is None or not candidates:
             return False
         asked_at = self.monotonic()
-        step = get_step(task)
+        step = get_step_key(task)
         names = [worker.id for worker in candidates]
         answer = await self.calls.ask('.'.join(map(str, step)), names)
         if answer is None:
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -31,9 +31,9 @@
 from lentilmount.coordination.transactions import make_token
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, Task, TaskPhase
 from lentilmount.scheduling.rows import encode_state
-from lentilmount.scheduling.sharing import Sharing
 from lentilmount.waiting import wait_briefly
 
 log = logbook.Logger('commits')
@@ -97,7 +97,7 @@
       keeper: Renews the lease with each write.
       lease: The lease.
       cluster: What is written.
-      sharing: What was learned of interference.
+      interference_model: What was learned of interference.
       links: Links, told which ends are written.
       clock: The clocks.
       send: Starts a task whose place is written.
@@ -112,7 +112,7 @@
     keeper: LeaseKeeper
     lease: Lease
     cluster: ClusterState
-    sharing: Sharing
+    interference_model: InterferenceModel
     links: dict[str, Link]
     clock: Clock
     send: Callable[[Task], None]
@@ -354,7 +354,7 @@
             return []
         self._model_at = now
         key = make_model_key(self.service)
-        body = {'pairs': self.sharing.export()}
+        body = {'pairs': self.interference_model.export()}
         return [Put(key, body, self._model_version)]
 
     async def restore(self) -> None:
@@ -369,7 +369,7 @@
         self._take_versions(rows)
         if model_key in rows:
             pairs = rows[model_key].body['pairs']
-            self.sharing.restore(pairs)
+            self.interference_model.restore(pairs)
 
     async def read_versions(self, jobs: list[Job]) -> None:
         """Reads the versions of rows anew after a conflict."""
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatch.py
@@ -15,7 +15,7 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import Job, Task, Worker
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.waiting import wait_briefly
 
 log = logbook.Logger('owner')
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -27,18 +27,18 @@
 from lentilmount.platform.store import PlatformTable
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.health import Health
+from lentilmount.scheduling.health import WorkerHealth
 from lentilmount.scheduling.inheritance import (
     Inheritance,
     InheritedLeases,
     list_remaining,
     shorten_leases,
 )
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
-from lentilmount.scheduling.sharing import Sharing
 
 log = logbook.Logger('owner')
 
@@ -120,7 +120,7 @@
         self._lost = ''
         self._group: asyncio.TaskGroup | None = None
         self._background: set[asyncio.Task[None]] = set()
-        sharing = self._sharing = Sharing()
+        interference_model = self._interference_model = InterferenceModel()
         self._advice = Advice(
             self.cluster, advice, clock.monotonic, self._wake.set
         )
@@ -135,7 +135,11 @@
             self._wake.set,
         )
         self._steering = Steering(
-            self.cluster, sharing, Health(), self._orders, metrics
+            self.cluster,
+            interference_model,
+            WorkerHealth(),
+            self._orders,
+            metrics,
         )
         self._commits = Commits(
             settings.service,
@@ -143,7 +147,7 @@
             keeper,
             lease,
             self.cluster,
-            sharing,
+            interference_model,
             self.links,
             clock,
             self._orders.start,
@@ -188,7 +192,7 @@
         self._commits.inheritance = inheritance
         dispatch = Dispatch(
             self.cluster,
-            Placer(self.cluster, self._sharing),
+            Placer(self.cluster, self._interference_model),
             self._commits,
             self._advice,
             inheritance,
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/steering.py
@@ -8,12 +8,12 @@
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.orders import Orders
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.health import Health, list_hanging
+from lentilmount.scheduling.health import WorkerHealth, list_hanging
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
-from lentilmount.scheduling.pacing import Pacer
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import EndKind
-from lentilmount.scheduling.sharing import Sharing
+from lentilmount.scheduling.throttling import Throttler
 
 log = logbook.Logger('steering')
 
@@ -34,15 +34,15 @@
 
     Attributes:
       cluster: Where the tasks are.
-      sharing: Who disturbs whom.
+      interference_model: Who disturbs whom.
       health: Evidence against workers.
       orders: Carries out what is decided.
       metrics: Counts ends and changes of pace.
     """
 
     cluster: ClusterState
-    sharing: Sharing
-    health: Health
+    interference_model: InterferenceModel
+    health: WorkerHealth
     orders: Orders
     metrics: ControlMetrics
     _halted: dict[Task, float] = attrs.Factory(dict)
@@ -80,7 +80,7 @@
                     'worker': worker.id,
                 },
             )
-        if self.health.note_end(worker, task, kind, now):
+        if self.health.record_end(worker, task, kind, now):
             log.warning(
                 'Worker is closed: tasks of different jobs failed there.',
                 extra={'worker': worker.id},
@@ -101,8 +101,8 @@
                 },
             )
         workers = list(self.cluster.workers.values())
-        if tasks and self.health.may_close(workers, now):
-            self.health.close(worker, now)
+        if tasks and self.health.may_quarantine(workers, now):
+            self.health.quarantine(worker, now)
 
     def _resume(self, task: Task) -> None:
         if task.phase is TaskPhase.STOPPING:
@@ -112,17 +112,19 @@
 
     def forget(self, task: Task) -> None:
         """Drops what is remembered of a task that has ended."""
-        self.sharing.forget(task)
+        self.interference_model.forget(task)
         self._halted.pop(task, None)
 
     def forget_job(self, job: Job) -> None:
         """Drops what is remembered of a job that is over."""
         for image in {step.image for step in job.spec.steps}:
-            self.sharing.forget_job(job.spec.id, image)
+            self.interference_model.forget_job(job.spec.id, image)
 
     def _pace(self, worker: Worker, now: float) -> None:
-        self.sharing.observe(worker, now)
-        for task, percent in Pacer(self.sharing).plan(worker, now).items():
+        self.interference_model.observe(worker, now)
+        for task, percent in (
+            Throttler(self.interference_model).plan(worker, now).items()
+        ):
             log.info(
                 'Pace {} to {}.',
                 task.cpu_percent,
@@ -164,7 +166,7 @@
         self._move_halted(now)
         self._stop_hanging(now)
         workers = list(self.cluster.workers.values())
-        self.health.end_trials(workers, now)
+        self.health.end_probations(workers, now)
         self._review_leases(workers, now)
 
     def _review_leases(self, workers: list[Worker], now: float) -> None:
@@ -195,7 +197,7 @@
             hanging = list_hanging(worker, now) if worker.reachable else []
             if not hanging:
                 continue
-            if self.health.may_close(workers, now):
-                self.health.close(worker, now)
+            if self.health.may_quarantine(workers, now):
+                self.health.quarantine(worker, now)
             for task in hanging:
                 self.stop(task, 'it stands still')
--- a/lentilmount/scheduling/consolidation.py
+++ b/lentilmount/scheduling/consolidation.py
@@ -15,21 +15,25 @@
 
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.demand import FillingDemand
+from lentilmount.scheduling.demand import BestEffortDemand
 from lentilmount.scheduling.model import Task, TaskPhase
-from lentilmount.scheduling.views import SERVING_LOAD, WorkerView, get_step
+from lentilmount.scheduling.views import (
+    SERVING_CPU_SHARE,
+    WorkerView,
+    get_step_key,
+)
 
-MOVE_PAUSE_SECONDS = 0.5
+MOVE_INTERVAL_SECONDS = 0.5
 """Between two searches for a move."""
 
-MOST_TOGETHER = 3
+MAX_TASKS_PER_MOVE = 3
 """Most tasks of an image that leave a worker at once."""
 
 LEAST_GAIN_CORES = 2.0
 """Cores that filling work must gain for each task that moves. A move costs a
 serving task about two seconds of its service."""
 
-SETTLED_SECONDS = 4.0
+MIN_SERVED_SECONDS = 4.0
 """How long a task has served before it moves: twice as long as a move takes
 from it."""
 
@@ -68,12 +72,12 @@
     """
 
     cluster: ClusterState
-    demand: FillingDemand
+    demand: BestEffortDemand
     _looked_at: float = 0.0
 
     def is_due(self, now: float) -> bool:
         """Whether a move may be looked for again."""
-        return now - self._looked_at >= MOVE_PAUSE_SECONDS
+        return now - self._looked_at >= MOVE_INTERVAL_SECONDS
 
     def choose(self, views: list[WorkerView], now: float) -> list[Task]:
         """Returns the tasks of the best move, if any is worth it.
@@ -120,12 +124,12 @@
                 for task in view.worker.tasks.values()
                 if task.is_serving and task.spec.image == image
             )
-            if len(tasks) > MOST_TOGETHER:
+            if len(tasks) > MAX_TASKS_PER_MOVE:
                 continue
             if not all(_may_move(task, tasks, now) for task in tasks):
                 continue
             left = view.utilisation.keys() - {image}
-            freed = SERVING_LOAD * sum(t.spec.demand.cores for t in tasks)
+            freed = SERVING_CPU_SHARE * sum(t.spec.demand.cores for t in tasks)
             after = self.demand.measure_borne(left)
             after *= max(0.0, view.spare_cores + freed)
             if after - before >= LEAST_GAIN_CORES * len(tasks):
@@ -152,7 +156,7 @@
             free = rooms[target.worker.id]
             rooms[target.worker.id] = free.subtract(task.spec.reserved)
             borne = self.demand.measure_borne(target.utilisation)
-            loss += borne * SERVING_LOAD * task.spec.demand.cores
+            loss += borne * SERVING_CPU_SHARE * task.spec.demand.cores
         return loss
 
 
@@ -161,7 +165,7 @@
 ) -> WorkerView | None:
     for view in targets:
         has_room = task.spec.reserved.fits(rooms[view.worker.id])
-        if has_room and view.allows(task):
+        if has_room and view.can_start(task):
             return view
     return None
 
@@ -179,15 +183,17 @@
     allowed = task.spec.may_miss
     if allowed is None:
         return True
-    moving = sum(get_step(other) == get_step(task) for other in together)
+    moving = sum(
+        get_step_key(other) == get_step_key(task) for other in together
+    )
     away = sum(
         not _is_settled(other, now)
         for other in task.job.tasks.values()
-        if get_step(other) == get_step(task)
+        if get_step_key(other) == get_step_key(task)
     )
     return away + moving <= allowed
 
 
 def _is_settled(task: Task, now: float) -> bool:
     is_there = task.phase is TaskPhase.RUNNING and task.cpu_percent == 100
-    return is_there and now - task.confirmed_at >= SETTLED_SECONDS
+    return is_there and now - task.confirmed_at >= MIN_SERVED_SECONDS
--- a/lentilmount/scheduling/costs.py
+++ b/lentilmount/scheduling/costs.py
@@ -13,9 +13,12 @@
 import attrs
 
 from lentilmount.scheduling.cluster import ClusterState
+from lentilmount.scheduling.interference import (
+    InterferenceModel,
+    count_best_effort,
+)
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.offers import Price
-from lentilmount.scheduling.sharing import Sharing, count_fills
 from lentilmount.scheduling.views import WorkerView
 
 SAME_JOB_COST = 0.05
@@ -65,11 +68,11 @@
 
     Attributes:
       cluster: Where the tasks are.
-      sharing: Which images bear which.
+      interference_model: Which images bear which.
     """
 
     cluster: ClusterState
-    sharing: Sharing
+    interference_model: InterferenceModel
 
     def make_price(self, task: Task) -> Price:
         """Returns what a task costs on each worker."""
@@ -107,8 +110,10 @@
         price = 0.0 if view.is_serving else OPEN_COST
         others = view.utilisation.keys() - {task.spec.image}
         price += OTHER_IMAGE_COST * len(others)
-        beside = count_fills(view.worker)
-        return price + BESIDE_COST * self.sharing.sum_interference(task, beside)
+        beside = count_best_effort(view.worker)
+        return price + BESIDE_COST * self.interference_model.sum_interference(
+            task, beside
+        )
 
     def _make_filling_cost(self, task: Task) -> Price:
         image = task.spec.image
@@ -118,14 +123,14 @@
                 # Each new task would run at full pace until the next look
                 # halts it, one after the other.
                 return math.inf
-            if not self.sharing.allows(view.utilisation, image):
+            if not self.interference_model.allows(view.utilisation, image):
                 return math.inf
             crowding = view.measure_crowding(task)
             if crowding > MOST_CROWDED:
                 return math.inf
             price = EMPTY_COST
             if view.is_serving:
-                interference = self.sharing.measure_interference(
+                interference = self.interference_model.measure_interference(
                     view.utilisation, image
                 )
                 price = INTERFERENCE_COST * interference
--- a/lentilmount/scheduling/demand.py
+++ b/lentilmount/scheduling/demand.py
@@ -9,23 +9,23 @@
 import attrs
 
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.sharing import Sharing
+from lentilmount.scheduling.interference import InterferenceModel
 
 AVERAGE_SECONDS = 5.0
 """Time over which demand is averaged: about as long as a job of it lasts."""
 
 
 @attrs.define
-class FillingDemand:
+class BestEffortDemand:
     """Shares of the filling work that waits and runs, by image.
 
     Attributes:
       cluster: Where the work is.
-      sharing: Which images bear which.
+      interference_model: Which images bear which.
     """
 
     cluster: ClusterState
-    sharing: Sharing
+    interference_model: InterferenceModel
     _cores: dict[str, float] = attrs.Factory(dict)
     _shares: dict[str, float] = attrs.Factory(dict)
     _noted_at: float = -math.inf
@@ -61,6 +61,6 @@
         """
         images = list(serving)
         return sum(
-            share * self.sharing.measure_tolerance(images, image)
+            share * self.interference_model.measure_tolerance(images, image)
             for image, share in self._shares.items()
         )
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -15,14 +15,14 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task
 from lentilmount.scheduling.ranking import (
-    AWAY_SECONDS,
+    RESTART_OVERDUE_SECONDS,
     Outlook,
     find_outlook,
     is_urgent,
 )
 from lentilmount.scheduling.views import WorkerView
 
-KEEP_SECONDS = AWAY_SECONDS
+MAX_HEADROOM_WAIT_SECONDS = RESTART_OVERDUE_SECONDS
 """How long a lasting task leaves room to urgent work that is expected: as long
 as urgent work goes before it."""
 
@@ -83,7 +83,7 @@
           now: Monotonic time.
         """
         since = min(max(t.last_ended_at, t.job.accepted_at) for t in step)
-        if now - since >= KEEP_SECONDS:
+        if now - since >= MAX_HEADROOM_WAIT_SECONDS:
             return False
         free = sum(view.free.cores for view in views)
         expected = max(0.0, BURST_FACTOR * self._demand - self._running)
--- a/lentilmount/scheduling/health.py
+++ b/lentilmount/scheduling/health.py
@@ -14,15 +14,15 @@
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import EndKind
 
-FAILING_JOBS = 3
+MAX_FAILED_JOBS = 3
 """Different jobs that fail on a worker with no success between them. Jobs
 that can never be done fail everywhere, and rarely meet three at a time."""
 
-CLOSED_SECONDS = 4.0
+QUARANTINE_SECONDS = 4.0
 """How long a worker stays closed before it is tried again: as long as the
 shortest of such spells lasts."""
 
-TRIAL_SECONDS = 2.0
+PROBATION_SECONDS = 2.0
 """After which a task that is still at work speaks for its worker: longer than
 a worker that fails everything takes to fail, and than one that hangs takes to
 show it."""
@@ -36,12 +36,12 @@
 """A run is overdue after so many times its estimate and so much more.
 Estimates are off by a fifth as a rule, distance from the data costs three."""
 
-STOP_SECONDS = 3.0
+STOP_TIMEOUT_SECONDS = 3.0
 """How long a worker may leave stops unanswered before its leases are left to
 run out. Nothing else ends there what a caller has cancelled; all that it runs
 ends with it, and is started elsewhere."""
 
-MOST_CLOSED = 0.3
+MAX_QUARANTINED_SHARE = 0.3
 """Share of the workers that may be closed at once; beyond it something else
 must be at fault."""
 
@@ -52,12 +52,12 @@
 
 
 @attrs.define
-class Health:
+class WorkerHealth:
     """Evidence against workers."""
 
     _failures: dict[str, set[str]] = attrs.Factory(dict)
 
-    def note_end(
+    def record_end(
         self, worker: Worker, task: Task, kind: EndKind, now: float
     ) -> bool:
         """Takes in an end; returns whether the worker was closed for it."""
@@ -71,27 +71,27 @@
             return False
         jobs = self._failures.setdefault(worker.id, set())
         jobs.add(task.id.job)
-        if len(jobs) < FAILING_JOBS and not worker.on_probation:
+        if len(jobs) < MAX_FAILED_JOBS and not worker.on_probation:
             return False
         jobs.clear()
-        self.close(worker, now)
+        self.quarantine(worker, now)
         return True
 
-    def close(self, worker: Worker, now: float) -> None:
+    def quarantine(self, worker: Worker, now: float) -> None:
         """Closes a worker for a while; one task will try it afterwards."""
-        worker.quarantined_until = now + CLOSED_SECONDS
+        worker.quarantined_until = now + QUARANTINE_SECONDS
         worker.on_probation = True
 
-    def end_trials(self, workers: list[Worker], now: float) -> None:
+    def end_probations(self, workers: list[Worker], now: float) -> None:
         """Trusts the workers on which a task has run well for a while."""
         for worker in workers:
             if worker.on_probation and _has_proved(worker, now):
                 worker.on_probation = False
 
-    def may_close(self, workers: list[Worker], now: float) -> bool:
+    def may_quarantine(self, workers: list[Worker], now: float) -> bool:
         """Tells whether one more worker may be closed."""
         closed = sum(w.quarantined_until > now for w in workers)
-        return closed < MOST_CLOSED * len(workers)
+        return closed < MAX_QUARANTINED_SHARE * len(workers)
 
     def review_leases(
         self, workers: list[Worker], now: float
@@ -107,7 +107,7 @@
         """
         left: list[Worker] = []
         kept: list[Worker] = []
-        most = MOST_CLOSED * len(workers)
+        most = MAX_QUARANTINED_SHARE * len(workers)
         count = sum(not worker.renews_leases for worker in workers)
         for worker in workers:
             is_overdue = _is_stop_overdue(worker, now)
@@ -133,7 +133,7 @@
     return any(
         task.phase is TaskPhase.RUNNING
         and task.placed_at >= worker.quarantined_until
-        and now - task.confirmed_at > TRIAL_SECONDS
+        and now - task.confirmed_at > PROBATION_SECONDS
         and now - task.idle_since <= 0
         for task in worker.tasks.values()
     )
@@ -145,7 +145,7 @@
     stopping = (t.phase is TaskPhase.STOPPING for t in worker.tasks.values())
     if not worker.has_stale_runs and not any(stopping):
         worker.stop_unanswered_since = math.inf
-    return now - worker.stop_unanswered_since > STOP_SECONDS
+    return now - worker.stop_unanswered_since > STOP_TIMEOUT_SECONDS
 
 
 def list_hanging(worker: Worker, now: float) -> list[Task]:
--- a/lentilmount/scheduling/sharing.py
+++ b/lentilmount/scheduling/interference.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from lentilmount.scheduling.filtering import Filter, Priors
+from lentilmount.scheduling.kalman import KalmanFilter, Priors
 from lentilmount.scheduling.model import (
     MEAN_INTENSITY,
     Task,
@@ -28,10 +28,10 @@
     measure_intensity,
 )
 
-IDLE_RATIO = 0.2
+IDLE_TAIL_RATIO = 0.2
 """Tail of a serving task without any load, over its target."""
 
-LIMIT = 1 - IDLE_RATIO
+TARGET_UTILISATION = 1 - IDLE_TAIL_RATIO
 """Utilisation at which the tail is at its target."""
 
 PRIOR_INTERFERENCE = 0.04
@@ -95,7 +95,7 @@
 FIGURE_SECONDS = 0.5
 """Time that a figure covers."""
 
-PLACE_BELOW = LIMIT - 0.05
+PLACE_BELOW = TARGET_UTILISATION - 0.05
 """Utilisation up to which filling tasks are added; the rest is half a
 standard deviation of the prediction."""
 
@@ -147,14 +147,14 @@
 
 def measure_utilisation(ratio: float) -> float:
     """Returns the utilisation at which a tail is a multiple of its target."""
-    return 1 - IDLE_RATIO / max(IDLE_RATIO, ratio)
+    return 1 - IDLE_TAIL_RATIO / max(IDLE_TAIL_RATIO, ratio)
 
 
-class Sharing:
+class InterferenceModel:
     """Learns pairs from looks, and decides who may fill beside whom."""
 
     def __init__(self) -> None:
-        self._filters: dict[str, Filter] = {}
+        self._filters: dict[str, KalmanFilter] = {}
         self._served: dict[Task, _Served] = {}
         self._trends: dict[str, _Trend] = {}
 
@@ -186,10 +186,10 @@
         trend = self._trends.setdefault(task.id.job, _Trend())
         trend.note(now, known.get_mean(_name_load(task)))
 
-    def _get_filter(self, serving: str) -> Filter:
+    def _get_filter(self, serving: str) -> KalmanFilter:
         known = self._filters.get(serving)
         if known is None:
-            known = self._filters[serving] = Filter(_PRIORS)
+            known = self._filters[serving] = KalmanFilter(_PRIORS)
         return known
 
     def is_over(self, task: Task) -> bool:
@@ -344,7 +344,7 @@
     return counts
 
 
-def count_fills(worker: Worker) -> dict[str, float]:
+def count_best_effort(worker: Worker) -> dict[str, float]:
     """Counts a worker's filling tasks by image, slowed ones as a whole.
 
     Busy and quiet spells take turns, so each counts as between what it is now
--- a/lentilmount/scheduling/filtering.py
+++ b/lentilmount/scheduling/kalman.py
@@ -38,7 +38,7 @@
     load_prefix: str
 
 
-class Filter:
+class KalmanFilter:
     """Estimates of the terms that add up to what is measured.
 
     A correction takes time with the square of the number of terms.
--- a/lentilmount/scheduling/offers.py
+++ b/lentilmount/scheduling/offers.py
@@ -46,7 +46,7 @@
     def ask_all(self, views: list[WorkerView]) -> None:
         """Asks all workers."""
         task = self.task
-        fitting = [view for view in views if view.allows(task)]
+        fitting = [view for view in views if view.can_start(task)]
         self._views = [v for v in fitting if self.allows(task, v.worker)]
         self.is_held_back = len(self._views) < len(fitting)
         self._prices = [self.cost(view) for view in self._views]
@@ -57,12 +57,12 @@
         ]
         heapq.heapify(self._heap)
 
-    def renew(self, view: WorkerView) -> None:
+    def refresh(self, view: WorkerView) -> None:
         """Asks a worker again that has taken a task of the step."""
         if view not in self._views:
             return
         number = self._views.index(view)
-        price = self.cost(view) if view.allows(self.task) else math.inf
+        price = self.cost(view) if view.can_start(self.task) else math.inf
         self._prices[number] = price
         if price < math.inf:
             heapq.heappush(self._heap, (price, number))
--- a/lentilmount/scheduling/placing.py
+++ b/lentilmount/scheduling/placement.py
@@ -13,22 +13,22 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.consolidation import Consolidation
 from lentilmount.scheduling.costs import Costs
-from lentilmount.scheduling.demand import FillingDemand
+from lentilmount.scheduling.demand import BestEffortDemand
 from lentilmount.scheduling.headroom import Headroom
-from lentilmount.scheduling.holds import Holds
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.offers import Allows, Offers
 from lentilmount.scheduling.ranking import (
-    is_away,
     is_gathering,
     is_new,
+    is_restart_overdue,
     sort_steps,
 )
-from lentilmount.scheduling.sharing import Sharing
+from lentilmount.scheduling.reservations import WorkerReservations
 from lentilmount.scheduling.specs import StepSpec
 from lentilmount.scheduling.views import Views, WorkerView
 
-FAILED_TRIES = 40
+MAX_FAILED_STEPS = 40
 """Steps of one kind for which no worker is found in a pass before the others
 of that kind are left to the next one: it bounds the time of a pass."""
 
@@ -41,8 +41,8 @@
 class Kind(enum.Enum):
     """What a task asks of a worker. A want of one is no want of another."""
 
-    LASTING = enum.auto()
-    FILLING = enum.auto()
+    LONG_RUNNING = enum.auto()
+    BEST_EFFORT = enum.auto()
     PLAIN = enum.auto()
 
 
@@ -51,16 +51,16 @@
     """Chooses workers for the tasks of a book that are ready."""
 
     cluster: ClusterState
-    sharing: Sharing
+    interference_model: InterferenceModel
     _views: Views = attrs.field(init=False)
     _consolidation: Consolidation = attrs.field(init=False)
     _headroom: Headroom = attrs.field(init=False)
-    _holds: Holds = attrs.Factory(Holds)
+    _holds: WorkerReservations = attrs.Factory(WorkerReservations)
 
     def __attrs_post_init__(self) -> None:
         """Keeps what is worked out from pass to pass."""
-        self._views = Views(self.cluster, self.sharing)
-        demand = FillingDemand(self.cluster, self.sharing)
+        self._views = Views(self.cluster, self.interference_model)
+        demand = BestEffortDemand(self.cluster, self.interference_model)
         self._consolidation = Consolidation(self.cluster, demand)
         self._headroom = Headroom(self.cluster)
 
@@ -82,7 +82,7 @@
         self._holds.expire(now)
         work = _Pass(
             self.cluster,
-            self.sharing,
+            self.interference_model,
             self._headroom,
             self._holds,
             views,
@@ -98,18 +98,18 @@
     def __init__(
         self,
         cluster: ClusterState,
-        sharing: Sharing,
+        interference_model: InterferenceModel,
         headroom: Headroom,
-        holds: Holds,
+        holds: WorkerReservations,
         views: list[WorkerView],
         now: float,
         allows: Allows,
     ):
         self._cluster = cluster
-        self._sharing = sharing
+        self._interference_model = interference_model
         self._headroom = headroom
         self._holds = holds
-        self._costs = Costs(cluster, sharing)
+        self._costs = Costs(cluster, interference_model)
         self._now = now
         self._allows = allows
         self._hopeless: dict[Shape, list[Room]] = {}
@@ -129,11 +129,11 @@
             if is_gathering(step, newest, self._now):
                 continue
             kind = find_kind(step[0].spec)
-            if failed[kind] <= FAILED_TRIES and self._is_tried(step, kind):
+            if failed[kind] <= MAX_FAILED_STEPS and self._is_tried(step, kind):
                 found, is_whole = self._place_step(step)
                 placed += found
                 failed[kind] += not is_whole
-            if is_away(step[0], self._now):
+            if is_restart_overdue(step[0], self._now):
                 self._hold_worker(step)
         return placed
 
@@ -141,7 +141,7 @@
         """Tells whether a worker is looked for now."""
         if self._is_hopeless(step[0].spec):
             return False
-        return kind is not Kind.LASTING or not self._headroom.keeps_room(
+        return kind is not Kind.LONG_RUNNING or not self._headroom.keeps_room(
             step, self._views, self._now
         )
 
@@ -151,7 +151,7 @@
         task = next(waiting, None)
         if task is None:
             return
-        view = self._holds.hold(task, self._views, self._now)
+        view = self._holds.reserve(task, self._views, self._now)
         if view is not None:
             self._views.remove(view)
 
@@ -175,9 +175,9 @@
             if view is None:
                 return placed, False
             self._cluster.place([task], view.worker, self._now)
-            view.renew(self._sharing)
+            view.refresh(self._interference_model)
             if offers is not None:
-                offers.renew(view)
+                offers.refresh(view)
             placed.append((task, view.worker))
         return placed, True
 
@@ -214,7 +214,7 @@
                 self._undo(chosen, before)
                 return []
             self._cluster.place_numbered(member, view.worker, self._now)
-            view.renew(self._sharing)
+            view.refresh(self._interference_model)
             chosen.append((member, view.worker))
             if task.spec.same_rack:
                 views = [v for v in views if v.worker.rack == view.worker.rack]
@@ -229,13 +229,13 @@
             member.run = run
             member.skipped = skipped
         for view in self._views:
-            view.renew(self._sharing)
+            view.refresh(self._interference_model)
 
     def _choose(
         self, task: Task, views: Iterable[WorkerView]
     ) -> WorkerView | None:
         """Returns the cheapest worker that may take a task, or None."""
-        fitting = [view for view in views if view.allows(task)]
+        fitting = [view for view in views if view.can_start(task)]
         able = [v for v in fitting if self._allows(task, v.worker)]
         best = self._find_cheapest(task, able)
         if best is None and len(able) == len(fitting):
@@ -302,5 +302,5 @@
 def find_kind(spec: StepSpec) -> Kind:
     """Returns the kind of a step."""
     if spec.lasting:
-        return Kind.LASTING
-    return Kind.FILLING if spec.fills else Kind.PLAIN
+        return Kind.LONG_RUNNING
+    return Kind.BEST_EFFORT if spec.fills else Kind.PLAIN
--- a/lentilmount/scheduling/ranking.py
+++ b/lentilmount/scheduling/ranking.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from lentilmount.scheduling.model import Job, Task
-from lentilmount.scheduling.views import get_step
+from lentilmount.scheduling.views import get_step_key
 
 USEFUL_MULTIPLE = 3.0
 """A job that is later than this multiple of its objective is of no more use
@@ -51,7 +51,7 @@
 MOST_GATHER_SECONDS = 0.8
 """How long a lasting step waits at most while others keep coming."""
 
-AWAY_SECONDS = 4.0
+RESTART_OVERDUE_SECONDS = 4.0
 """How long a lost lasting task lets urgent work go first. Where there is room
 for it, it is to be back within 6 s."""
 
@@ -87,11 +87,11 @@
     return task.spec.lasting and not task.run and not task.last_ended_at
 
 
-def is_away(task: Task, now: float) -> bool:
+def is_restart_overdue(task: Task, now: float) -> bool:
     """Tells whether a lasting task has run and been away for too long."""
     if not task.last_ended_at or not task.spec.lasting:
         return False
-    return now - task.last_ended_at >= AWAY_SECONDS
+    return now - task.last_ended_at >= RESTART_OVERDUE_SECONDS
 
 
 def rank_task(task: Task, now: float) -> Rank:
@@ -101,7 +101,7 @@
         # Bounded to a few a worker, a step takes a place on many. Its image is
         # there already only if the others of that image come after it.
         bound = task.spec.most_per_worker or math.inf
-        turn = Turn.AWAY if is_away(task, now) else Turn.LASTING
+        turn = Turn.AWAY if is_restart_overdue(task, now) else Turn.LASTING
         return turn, (
             task.spec.image,
             bound,
@@ -162,8 +162,8 @@
     """
     steps: dict[tuple[object, ...], list[Task]] = {}
     for task in tasks:
-        key: tuple[object, ...] = get_step(task)
-        if is_away(task, now):
+        key: tuple[object, ...] = get_step_key(task)
+        if is_restart_overdue(task, now):
             key = (*key, Turn.AWAY)
         steps.setdefault(key, []).append(task)
     return sorted(steps.values(), key=lambda step: rank_task(step[0], now))
--- a/lentilmount/scheduling/holds.py
+++ b/lentilmount/scheduling/reservations.py
@@ -17,10 +17,10 @@
 
 log = logbook.Logger('placing')
 
-HOLD_SECONDS = 2.0
+RESERVATION_SECONDS = 2.0
 """How long a worker is held for one task: short tasks have ended by then."""
 
-MOST_HELD = 0.05
+MAX_RESERVED_SHARE = 0.05
 """Share of the workers that are held at once."""
 
 
@@ -38,7 +38,7 @@
 
 
 @attrs.define
-class Holds:
+class WorkerReservations:
     """Knows which worker is held for which task, from pass to pass."""
 
     _holds: dict[Task, _Hold] = attrs.Factory(dict)
@@ -51,7 +51,7 @@
             if task.phase is TaskPhase.WAITING and now < hold.until
         }
 
-    def hold(
+    def reserve(
         self, task: Task, views: list[WorkerView], now: float
     ) -> WorkerView | None:
         """Returns the worker that is held for a task, chosen if need be.
@@ -66,7 +66,7 @@
             found = (v for v in views if v.worker.id == hold.worker)
             return next(found, None)
         held = sum(hold.worker != '' for hold in self._holds.values())
-        if held >= math.ceil(MOST_HELD * len(views)):
+        if held >= math.ceil(MAX_RESERVED_SHARE * len(views)):
             return None
         chosen = _choose(task, views)
         name = chosen.worker.id if chosen is not None else ''
@@ -75,14 +75,14 @@
                 'Holding a worker for a lost task.',
                 extra={'task': str(task.id), 'worker': name},
             )
-        self._holds[task] = _Hold(name, now + HOLD_SECONDS)
+        self._holds[task] = _Hold(name, now + RESERVATION_SECONDS)
         return chosen
 
 
 def _choose(task: Task, views: list[WorkerView]) -> WorkerView | None:
     """Chooses the worker on which a task is likely to fit first."""
     reserved = task.spec.reserved
-    able = [v for v in views if reserved.fits(v.soon) and v.takes(task)]
+    able = [v for v in views if reserved.fits(v.soon) and v.accepts(task)]
     chosen = max(able, key=lambda view: view.free.cores, default=None)
     if chosen is not None and reserved.fits(chosen.free):
         # It is not room that the task waits for.
--- a/lentilmount/scheduling/pacing.py
+++ b/lentilmount/scheduling/throttling.py
@@ -11,18 +11,18 @@
 
 import attrs
 
-from lentilmount.scheduling.model import Task, Worker, measure_intensity
-from lentilmount.scheduling.sharing import (
+from lentilmount.scheduling.interference import (
     LEAST_INTERFERENCE,
-    LIMIT,
-    Sharing,
+    TARGET_UTILISATION,
+    InterferenceModel,
     count_paced,
     measure_utilisation,
 )
+from lentilmount.scheduling.model import Task, Worker, measure_intensity
 
-PACE_ABOVE = LIMIT - 0.03
-PACE_TO = LIMIT - 0.1
-RAISE_BELOW = LIMIT - 0.12
+PACE_ABOVE = TARGET_UTILISATION - 0.03
+PACE_TO = TARGET_UTILISATION - 0.1
+RAISE_BELOW = TARGET_UTILISATION - 0.12
 """Utilisations from which neighbours are slowed down, to which, and up to
 which they get more again; the gap keeps the two from alternating."""
 
@@ -32,17 +32,17 @@
 RAISE_STEP = 50
 """Percent that a slowed task gets back at once."""
 
-HALT_AFTER_SECONDS = 1.5
+SUSPEND_AFTER_SECONDS = 1.5
 """Time over target after which everything that fills beside stops working,
 whatever the model says. Half of the shortest allowed time (4 s) less the age
 of a figure (0.5 s) and one look (0.5 s)."""
 
 
 @attrs.define
-class Pacer:
+class Throttler:
     """Decides the pace of filling tasks."""
 
-    _sharing: Sharing
+    _interference_model: InterferenceModel
 
     def plan(self, worker: Worker, now: float) -> dict[Task, int]:
         """Decides which filling tasks get how many percent from now on."""
@@ -59,7 +59,8 @@
             if task.is_serving and task.usage is not None
         ]
         if any(
-            self._sharing.get_seconds_over(task, now) >= HALT_AFTER_SECONDS
+            self._interference_model.get_seconds_over(task, now)
+            >= SUSPEND_AFTER_SECONDS
             for task in served
         ):
             return {fill: 0 for fill in wanted if fill.cpu_percent}
@@ -81,9 +82,12 @@
         """
         ratio = (task.usage or 0.0) / task.spec.target_ms
         beside = count_paced(wanted)
-        predicted = self._sharing.predict(task, beside, PACE_AHEAD_SECONDS)
+        predicted = self._interference_model.predict(
+            task, beside, PACE_AHEAD_SECONDS
+        )
         now = min(
-            measure_utilisation(ratio), self._sharing.predict(task, beside)
+            measure_utilisation(ratio),
+            self._interference_model.predict(task, beside),
         )
         return max(now, predicted)
 
@@ -103,7 +107,9 @@
             excess -= interference * cut / 100
 
     def _measure_interference_now(self, served: Task, fill: Task) -> float:
-        interference = self._sharing.get_interference(served, fill.spec.image)
+        interference = self._interference_model.get_interference(
+            served, fill.spec.image
+        )
         return interference * measure_intensity(fill)
 
     def _speed_up(self, served: list[Task], wanted: dict[Task, int]) -> None:
@@ -113,9 +119,9 @@
             more = min(100, wanted[fill] + RAISE_STEP)
             beside = count_paced({**wanted, fill: more})
             if all(
-                self._sharing.get_interference(task, fill.spec.image)
+                self._interference_model.get_interference(task, fill.spec.image)
                 < LEAST_INTERFERENCE
-                or self._sharing.predict(task, beside) < RAISE_BELOW
+                or self._interference_model.predict(task, beside) < RAISE_BELOW
                 for task in served
             ):
                 wanted[fill] = more
--- a/lentilmount/scheduling/views.py
+++ b/lentilmount/scheduling/views.py
@@ -15,16 +15,19 @@
 
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
+from lentilmount.scheduling.interference import (
+    InterferenceModel,
+    count_best_effort,
+)
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
-from lentilmount.scheduling.sharing import Sharing, count_fills
 
-SERVING_LOAD = 0.6
+SERVING_CPU_SHARE = 0.6
 """Share of its cores that a serving task is taken to use: its mean, and a part
 of what its load swings up."""
 
 
-RENEW_SECONDS = 0.1
+REFRESH_SECONDS = 0.1
 """For how long what was worked out for a worker holds while nothing changes
 there. What is learned of images at other workers changes the loads to expect;
 the figures that it comes from cover half a second."""
@@ -39,7 +42,7 @@
       free: What is not reserved.
       soon: What is not reserved once what is short there has ended.
       spare_cores: Cores that are left to filling tasks.
-      filling_cores: Cores that the filling tasks there ask for.
+      best_effort_cores: Cores that the filling tasks there ask for.
       is_over: Whether a serving task there is over its target.
       utilisation: For each serving image, the highest utilisation to expect.
       same_step: Tasks by job, occurrence and step.
@@ -49,7 +52,7 @@
     free: Room = attrs.Factory(Room)
     soon: Room = attrs.Factory(Room)
     spare_cores: float = 0.0
-    filling_cores: float = 0.0
+    best_effort_cores: float = 0.0
     is_over: bool = False
     utilisation: dict[str, float] = attrs.Factory(dict)
     same_step: collections.Counter[tuple[str, int, int]] = attrs.Factory(
@@ -72,44 +75,51 @@
             or self._entry is not worker.entry
         )
 
-    def renew(self, sharing: Sharing) -> None:
+    def refresh(self, interference_model: InterferenceModel) -> None:
         """Works everything out from the worker's tasks."""
         self._changes = self.worker.change_count
         self._entry = self.worker.entry
-        self.is_over = any(map(sharing.is_over, self.worker.tasks.values()))
+        self.is_over = any(
+            map(interference_model.is_over, self.worker.tasks.values())
+        )
         worker = self.worker
         self.free = worker.entry.capacity.subtract(worker.used)
         self.soon = worker.entry.capacity
         self.spare_cores = worker.entry.capacity.cores
-        self.filling_cores = 0.0
+        self.best_effort_cores = 0.0
         self.utilisation = {}
         self.same_step.clear()
-        beside = count_fills(worker)
+        beside = count_best_effort(worker)
         for task in worker.tasks.values():
-            self.same_step[get_step(task)] += 1
-            self._add(task, beside, sharing)
+            self.same_step[get_step_key(task)] += 1
+            self._add(task, beside, interference_model)
 
     def _add(
-        self, task: Task, beside: dict[str, float], sharing: Sharing
+        self,
+        task: Task,
+        beside: dict[str, float],
+        interference_model: InterferenceModel,
     ) -> None:
         cores = task.spec.demand.cores
         if task.spec.lasting and task.phase is not TaskPhase.STOPPING:
             self.soon = self.soon.subtract(task.spec.reserved)
         if task.spec.fills:
-            self.filling_cores += cores * task.cpu_percent / 100
+            self.best_effort_cores += cores * task.cpu_percent / 100
             return
-        self.spare_cores -= cores * (SERVING_LOAD if task.is_serving else 1.0)
+        self.spare_cores -= cores * (
+            SERVING_CPU_SHARE if task.is_serving else 1.0
+        )
         if task.is_serving:
             image = task.spec.image
-            expected = sharing.predict_place(task, beside)
+            expected = interference_model.predict_place(task, beside)
             known = self.utilisation.get(image, 0.0)
             self.utilisation[image] = max(known, expected)
 
-    def allows(self, task: Task) -> bool:
+    def can_start(self, task: Task) -> bool:
         """Tells whether a task may run beside what is there."""
-        return task.spec.reserved.fits(self.free) and self.takes(task)
+        return task.spec.reserved.fits(self.free) and self.accepts(task)
 
-    def takes(self, task: Task) -> bool:
+    def accepts(self, task: Task) -> bool:
         """Tells whether a task may run here once there is room for it."""
         spec = task.spec
         if spec.label and spec.label not in self.worker.entry.labels:
@@ -117,11 +127,11 @@
         if self.worker.on_probation and self.worker.is_being_tested:
             return False
         most = spec.most_per_worker
-        return not most or self.same_step[get_step(task)] < most
+        return not most or self.same_step[get_step_key(task)] < most
 
     def measure_crowding(self, task: Task) -> float:
         """Returns the share of a filling task's cores that it would lack."""
-        wanted = self.filling_cores + task.spec.demand.cores
+        wanted = self.best_effort_cores + task.spec.demand.cores
         if wanted <= 0:
             return 0.0
         return min(1.0, max(0.0, 1 - self.spare_cores / wanted))
@@ -133,17 +143,17 @@
 
     Attributes:
       cluster: Where the workers are.
-      sharing: What was learned of images.
+      interference_model: What was learned of images.
     """
 
     cluster: ClusterState
-    sharing: Sharing
+    interference_model: InterferenceModel
     _views: dict[str, WorkerView] = attrs.Factory(dict)
     _renewed_at: float = -math.inf
 
     def list_open(self, now: float) -> list[WorkerView]:
         """Lists the workers that take new work, up to date."""
-        is_due = now - self._renewed_at >= RENEW_SECONDS
+        is_due = now - self._renewed_at >= REFRESH_SECONDS
         if is_due:
             self._renewed_at = now
             workers = self.cluster.workers
@@ -158,7 +168,7 @@
             if view is None or view.worker is not worker:
                 view = self._views[worker.id] = WorkerView(worker)
             if is_due or view.is_outdated:
-                view.renew(self.sharing)
+                view.refresh(self.interference_model)
             found.append(view)
         return found
 
@@ -176,6 +186,6 @@
     )
 
 
-def get_step(task: Task) -> tuple[str, int, int]:
+def get_step_key(task: Task) -> tuple[str, int, int]:
     """Returns the step and occurrence of a task."""
     return task.id.job, task.id.occurrence, task.id.step
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -9,7 +9,7 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Job, Task, Worker
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reports import (
     EndKind,
     EndReport,
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -21,8 +21,8 @@
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import JobState, Task
-from lentilmount.scheduling.sharing import Sharing
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import (
     add_worker,
@@ -75,7 +75,7 @@
         keeper,
         lease,
         cluster,
-        Sharing(),
+        InterferenceModel(),
         links,
         ManualClock(),
         send,
--- a/tests/test_consolidation.py
+++ b/tests/test_consolidation.py
@@ -7,13 +7,13 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.consolidation import (
-    MOST_TOGETHER,
-    MOVE_PAUSE_SECONDS,
-    SETTLED_SECONDS,
+    MAX_TASKS_PER_MOVE,
+    MIN_SERVED_SECONDS,
+    MOVE_INTERVAL_SECONDS,
 )
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.placing import Placer
-from lentilmount.scheduling.sharing import Sharing
+from lentilmount.scheduling.placement import Placer
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -27,7 +27,7 @@
 PAIRS = [['strict', 'popular', 0.2], ['lenient', 'popular', 0.0]]
 """What the filling image adds to each serving one."""
 
-LATER = 2 * SETTLED_SECONDS
+LATER = 2 * MIN_SERVED_SECONDS
 
 
 def serve(
@@ -43,13 +43,13 @@
 
 def make_placer(cluster: ClusterState, waits: bool = True) -> Placer:
     """Returns a placer that knows the pairs; filling work may wait."""
-    sharing = Sharing()
-    sharing.restore(PAIRS)
+    interference_model = InterferenceModel()
+    interference_model.restore(PAIRS)
     if waits:
         # More memory than any worker has: it waits for good.
         step = make_step(demand=Room(2.0, 99_000), fills=True, image='popular')
         admit(cluster, make_job('filling', step))
-    return Placer(cluster, sharing)
+    return Placer(cluster, interference_model)
 
 
 def open_book() -> tuple[ClusterState, Task]:
@@ -58,7 +58,7 @@
     mixed = add_worker(cluster, 'mixed', capacity=Room(16.0, 64_000))
     strict = add_worker(cluster, 'strict', capacity=Room(16.0, 64_000))
     serve(cluster, 'lenient', mixed, 'lenient')
-    for number in range(MOST_TOGETHER + 1):
+    for number in range(MAX_TASKS_PER_MOVE + 1):
         serve(cluster, f'home-{number}', strict, 'strict')
     return cluster, serve(cluster, 'stray', mixed, 'strict')
 
@@ -89,14 +89,14 @@
 def test_a_task_that_came_lately_stays() -> None:
     """Moved at once again, a task would spend its time on starting."""
     cluster, _ = open_book()
-    assert make_placer(cluster).choose_moves(SETTLED_SECONDS / 2) == []
+    assert make_placer(cluster).choose_moves(MIN_SERVED_SECONDS / 2) == []
 
 
 def test_moves_keep_a_pause() -> None:
     cluster, stray = open_book()
     placer = make_placer(cluster)
     assert placer.choose_moves(LATER) == [stray]
-    soon = LATER + MOVE_PAUSE_SECONDS / 2
+    soon = LATER + MOVE_INTERVAL_SECONDS / 2
     assert placer.choose_moves(soon) == []
 
 
@@ -106,7 +106,7 @@
     mixed = add_worker(cluster, 'mixed', capacity=Room(16.0, 64_000))
     strict = add_worker(cluster, 'strict', capacity=Room(16.0, 64_000))
     serve(cluster, 'lenient', mixed, 'lenient')
-    for number in range(MOST_TOGETHER):
+    for number in range(MAX_TASKS_PER_MOVE):
         serve(cluster, f'home-{number}', strict, 'strict')
     fields = {'lasting': True, 'target_ms': 50.0, 'image': 'strict'}
     step = make_step(count=2, may_miss=1, **fields)
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -22,7 +22,7 @@
 from lentilmount.control.storewatch import Outage, Peers, StoreWatch
 from lentilmount.platform.bootfile import Capacity
 from lentilmount.platform.store import PlatformTable
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.placement import Placer
 from lentilmount.upstream.http import HttpCaller
 from tests.helpers import run
 from tests.platform_scene import (
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -4,10 +4,13 @@
 
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.headroom import AVERAGE_SECONDS, KEEP_SECONDS
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.headroom import (
+    AVERAGE_SECONDS,
+    MAX_HEADROOM_WAIT_SECONDS,
+)
+from lentilmount.scheduling.interference import InterferenceModel
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reports import EndKind
-from lentilmount.scheduling.sharing import Sharing
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -41,7 +44,7 @@
     admit(cluster, make_job('lasting', LASTING))
     urgent = make_policy(stretch=9.0)
     admit(cluster, make_job('urgent', URGENT, policy=urgent))
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     assert place_all(placer, 5.0) == ['urgent']
 
 
@@ -50,7 +53,7 @@
     add_worker(cluster, 'w', capacity=Room(4.0, 16_000))
     admit(cluster, make_job('lasting', LASTING))
     admit(cluster, make_job('late', URGENT))
-    assert place_all(Placer(cluster, Sharing()), 5.0) == ['lasting']
+    assert place_all(Placer(cluster, InterferenceModel()), 5.0) == ['lasting']
 
 
 def test_lasting_tasks_leave_room_to_urgent_work_for_a_while() -> None:
@@ -60,7 +63,7 @@
     admit(cluster, make_job('lasting', LASTING))
     lasting = find_task(cluster, 'lasting')
     policy = make_policy(stretch=99.0)
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     run_task(cluster, lasting, worker)
     # Urgent work keeps the two cores beside it busy.
     now = 0.0
@@ -77,7 +80,7 @@
         now += PASS_SECONDS
     cluster.end_run(lasting, EndKind.FAILED, now)
     assert 'lasting' not in place_all(placer, now + PASS_SECONDS)
-    assert 'lasting' in place_all(placer, now + KEEP_SECONDS)
+    assert 'lasting' in place_all(placer, now + MAX_HEADROOM_WAIT_SECONDS)
 
 
 def test_without_urgent_work_a_lasting_task_is_placed_at_once() -> None:
@@ -87,7 +90,7 @@
     lasting = find_task(cluster, 'lasting')
     run_task(cluster, lasting, worker)
     cluster.end_run(lasting, EndKind.FAILED, 9.0)
-    assert place_all(Placer(cluster, Sharing()), 9.1) == ['lasting']
+    assert place_all(Placer(cluster, InterferenceModel()), 9.1) == ['lasting']
 
 
 def test_a_lost_lasting_task_is_back_beside_urgent_work() -> None:
@@ -100,7 +103,7 @@
     lasting = find_task(cluster, 'lasting')
     run_task(cluster, lasting, workers[0])
     policy = make_policy(stretch=99.0)
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     lost_at = 2.0
     cluster.end_run(lasting, EndKind.FAILED, lost_at)
     for number in range(round(BACK_SECONDS / PASS_SECONDS)):
--- a/tests/test_sharing.py
+++ b/tests/test_interference.py
@@ -12,16 +12,16 @@
 from benchmarks.emulated import Load
 from benchmarks.emulation import Emulation
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.filtering import Filter
-from lentilmount.scheduling.model import Task, Worker, measure_intensity
-from lentilmount.scheduling.pacing import HALT_AFTER_SECONDS, Pacer
-from lentilmount.scheduling.sharing import (
+from lentilmount.scheduling.interference import (
     _PRIORS,
-    IDLE_RATIO,
-    LIMIT,
-    Sharing,
+    IDLE_TAIL_RATIO,
+    TARGET_UTILISATION,
+    InterferenceModel,
     measure_utilisation,
 )
+from lentilmount.scheduling.kalman import KalmanFilter
+from lentilmount.scheduling.model import Task, Worker, measure_intensity
+from lentilmount.scheduling.throttling import SUSPEND_AFTER_SECONDS, Throttler
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -57,51 +57,55 @@
 
 
 def tell(
-    sharing: Sharing, worker: Worker, served: Task, used: float, now: float
+    interference_model: InterferenceModel,
+    worker: Worker,
+    served: Task,
+    used: float,
+    now: float,
 ) -> None:
     """Reports a tail as it is at a utilisation."""
-    served.usage = TARGET_MS * IDLE_RATIO / (1 - used)
-    sharing.observe(worker, now)
+    served.usage = TARGET_MS * IDLE_TAIL_RATIO / (1 - used)
+    interference_model.observe(worker, now)
 
 
 def test_a_tail_at_its_target_is_the_limit() -> None:
-    assert measure_utilisation(1.0) == pytest.approx(LIMIT)
-    assert measure_utilisation(IDLE_RATIO) == 0.0
+    assert measure_utilisation(1.0) == pytest.approx(TARGET_UTILISATION)
+    assert measure_utilisation(IDLE_TAIL_RATIO) == 0.0
     assert measure_utilisation(0.0) == 0.0
 
 
 def test_a_heavy_image_is_kept_off_and_a_light_one_is_not() -> None:
     cluster, worker, served = make_scene()
-    sharing = Sharing()
+    interference_model = InterferenceModel()
     now = 0.0
     for _ in range(20):
         now += 0.5
-        tell(sharing, worker, served, 0.5, now)
+        tell(interference_model, worker, served, 0.5, now)
     heavy = add_fill(cluster, worker, 'a', 'heavy')
     for _ in range(10):
         now += 0.5
-        tell(sharing, worker, served, 0.65, now)
+        tell(interference_model, worker, served, 0.65, now)
     worker.remove(heavy)
     light = add_fill(cluster, worker, 'b', 'light')
     for _ in range(10):
         now += 0.5
-        tell(sharing, worker, served, 0.5, now)
+        tell(interference_model, worker, served, 0.5, now)
     worker.remove(light)
-    assert sharing.get_interference(served, 'heavy') > 0.08
-    assert sharing.get_interference(served, 'light') < 0.03
-    assert not sharing.allows({'web': 0.66}, 'heavy')
-    assert sharing.allows({'web': 0.66}, 'light')
+    assert interference_model.get_interference(served, 'heavy') > 0.08
+    assert interference_model.get_interference(served, 'light') < 0.03
+    assert not interference_model.allows({'web': 0.66}, 'heavy')
+    assert interference_model.allows({'web': 0.66}, 'light')
 
 
 def test_the_worst_neighbour_is_slowed_and_the_others_are_not() -> None:
     cluster, worker, served = make_scene()
-    sharing = Sharing()
-    sharing.restore([['web', 'heavy', 0.15], ['web', 'light', 0.01]])
+    interference_model = InterferenceModel()
+    interference_model.restore([['web', 'heavy', 0.15], ['web', 'light', 0.01]])
     heavy = add_fill(cluster, worker, 'a', 'heavy')
     light = add_fill(cluster, worker, 'b', 'light')
     for step in range(6):
-        tell(sharing, worker, served, 0.79, 0.5 * step)
-    paces = Pacer(sharing).plan(worker, 2.6)
+        tell(interference_model, worker, served, 0.79, 0.5 * step)
+    paces = Throttler(interference_model).plan(worker, 2.6)
     assert heavy in paces
     assert light not in paces
     assert 0 <= paces[heavy] < 100
@@ -110,25 +114,25 @@
 def test_everything_halts_when_the_target_is_missed_for_long() -> None:
     """A tail stayed over its target for causes that the model does not see."""
     cluster, worker, served = make_scene()
-    sharing = Sharing()
-    sharing.restore([['web', 'light', 0.0]])
+    interference_model = InterferenceModel()
+    interference_model.restore([['web', 'light', 0.0]])
     light = add_fill(cluster, worker, 'b', 'light')
     now = 0.0
-    while now <= HALT_AFTER_SECONDS:
-        tell(sharing, worker, served, 0.9, now)
+    while now <= SUSPEND_AFTER_SECONDS:
+        tell(interference_model, worker, served, 0.9, now)
         now += 0.5
-    assert Pacer(sharing).plan(worker, now) == {light: 0}
+    assert Throttler(interference_model).plan(worker, now) == {light: 0}
 
 
 def test_a_slowed_task_gets_more_when_the_load_is_low() -> None:
     cluster, worker, served = make_scene()
-    sharing = Sharing()
-    sharing.restore([['web', 'heavy', 0.1]])
+    interference_model = InterferenceModel()
+    interference_model.restore([['web', 'heavy', 0.1]])
     heavy = add_fill(cluster, worker, 'a', 'heavy')
     heavy.cpu_percent = heavy.previous_cpu_percent = 0
     for step in range(10):
-        tell(sharing, worker, served, 0.3, 0.5 * step)
-    assert Pacer(sharing).plan(worker, 5.0)[heavy] > 0
+        tell(interference_model, worker, served, 0.3, 0.5 * step)
+    assert Throttler(interference_model).plan(worker, 5.0)[heavy] > 0
 
 
 def test_what_was_learned_reaches_the_next_owner() -> None:
@@ -142,13 +146,13 @@
     other = find_task(cluster, 'serving', 0, 1)
     run_task(cluster, other, alone, 0.0)
     add_fill(cluster, beside, 'a', 'heavy')
-    sharing = Sharing()
+    interference_model = InterferenceModel()
     for number in range(20):
-        tell(sharing, alone, other, 0.5, 0.5 * number)
-        tell(sharing, beside, served, 0.65, 0.5 * number)
-    new = Sharing()
-    new.restore(sharing.export())
-    known = sharing.get_interference(served, 'heavy')
+        tell(interference_model, alone, other, 0.5, 0.5 * number)
+        tell(interference_model, beside, served, 0.65, 0.5 * number)
+    new = InterferenceModel()
+    new.restore(interference_model.export())
+    known = interference_model.get_interference(served, 'heavy')
     assert known == pytest.approx(0.15, abs=0.02)
     assert new.get_interference(served, 'heavy') == pytest.approx(
         known, abs=1e-3
@@ -157,7 +161,7 @@
 
 def test_a_load_and_an_interference_are_told_apart() -> None:
     """An error of a load was taken for interference, and the other way."""
-    known = Filter(_PRIORS)
+    known = KalmanFilter(_PRIORS)
     for step in range(20):
         known.age(0.5 * step)
         known.correct({'load:a': 1.0}, 0.6)
@@ -182,7 +186,7 @@
 def test_variances_stay_positive(
     measures: list[tuple[float, dict[str, float]]],
 ) -> None:
-    known = Filter(_PRIORS)
+    known = KalmanFilter(_PRIORS)
     for step, (measured, beside) in enumerate(measures):
         known.age(float(step))
         known.correct({'load:x': 1.0, **beside}, measured)
@@ -190,7 +194,7 @@
 
 
 def test_a_term_that_was_removed_leaves_the_others() -> None:
-    known = Filter(_PRIORS)
+    known = KalmanFilter(_PRIORS)
     known.correct({'load:a': 1.0, 'x': 1.0}, 0.7)
     known.correct({'load:b': 1.0, 'x': 1.0}, 0.4)
     before = known.get_mean('load:b'), known.get_mean('x')
@@ -212,14 +216,14 @@
     assert 0.4 < measure_intensity(fill) < 1.0
 
 
-class _Careless(Pacer):
+class _Careless(Throttler):
     """Slows nothing down."""
 
     def plan(self, *_: object) -> dict[Task, int]:
         return {}
 
 
-class _Blind(Sharing):
+class _Blind(InterferenceModel):
     """Lets everything run beside everything."""
 
     def allows(self, *_: object) -> bool:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -71,8 +71,8 @@
     load = attrs.evolve(LOADS['full'], workers=6, seconds=12.0)
     usual, other = Replay(load, 1), Replay(load, 1)
     usual.run()
-    monkeypatch.setattr(headroom, 'KEEP_SECONDS', 0.0)
-    monkeypatch.setattr(ranking, 'AWAY_SECONDS', 0.0)
+    monkeypatch.setattr(headroom, 'MAX_HEADROOM_WAIT_SECONDS', 0.0)
+    monkeypatch.setattr(ranking, 'RESTART_OVERDUE_SECONDS', 0.0)
     other.run()
     assert usual.list_arrivals() == other.list_arrivals()
     assert usual.earned != other.earned
--- a/tests/test_holds.py
+++ b/tests/test_reservations.py
@@ -6,12 +6,16 @@
 
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.holds import HOLD_SECONDS, MOST_HELD, Holds
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, Worker
-from lentilmount.scheduling.placing import Placer
-from lentilmount.scheduling.ranking import AWAY_SECONDS
+from lentilmount.scheduling.placement import Placer
+from lentilmount.scheduling.ranking import RESTART_OVERDUE_SECONDS
 from lentilmount.scheduling.reports import EndKind
-from lentilmount.scheduling.sharing import Sharing
+from lentilmount.scheduling.reservations import (
+    MAX_RESERVED_SHARE,
+    RESERVATION_SECONDS,
+    WorkerReservations,
+)
 from lentilmount.scheduling.views import Views, WorkerView
 from tests.fleet_scene import (
     add_worker,
@@ -27,7 +31,7 @@
 
 LASTING = make_step(demand=Room(4.0, 1000), lasting=True, image='x')
 LOST_AT = 2.0
-AWAY_AT = LOST_AT + AWAY_SECONDS
+AWAY_AT = LOST_AT + RESTART_OVERDUE_SECONDS
 
 
 def fill(
@@ -52,7 +56,7 @@
 
 def list_views(cluster: ClusterState) -> list[WorkerView]:
     """Lists the workers that take work."""
-    return Views(cluster, Sharing()).list_open(AWAY_AT)
+    return Views(cluster, InterferenceModel()).list_open(AWAY_AT)
 
 
 def test_a_held_worker_takes_nothing_else() -> None:
@@ -64,7 +68,7 @@
     urgent = make_step(demand=Room(1.0, 1000))
     policy = make_policy(stretch=99.0)
     admit(cluster, make_job('urgent', urgent, policy=policy))
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     assert run_pass(placer, AWAY_AT) == []
     short = find_task(cluster, 'short')
     cluster.end_run(short, EndKind.DONE, AWAY_AT)
@@ -78,7 +82,9 @@
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
     fill(cluster, worker, 'other', lasting=True)
     lost = lose(cluster, 'lost')
-    assert Holds().hold(lost, list_views(cluster), AWAY_AT) is None
+    assert (
+        WorkerReservations().reserve(lost, list_views(cluster), AWAY_AT) is None
+    )
 
 
 def test_no_worker_is_held_for_a_task_that_has_room() -> None:
@@ -86,21 +92,23 @@
     cluster = ClusterState()
     add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
     lost = lose(cluster, 'lost')
-    assert Holds().hold(lost, list_views(cluster), AWAY_AT) is None
+    assert (
+        WorkerReservations().reserve(lost, list_views(cluster), AWAY_AT) is None
+    )
 
 
 def test_few_workers_are_held_at_once() -> None:
     """After the loss of a zone all others would have stood still."""
     cluster = ClusterState()
-    count = round(2 / MOST_HELD)
+    count = round(2 / MAX_RESERVED_SHARE)
     for number in range(count):
         name = f'w-{number}'
         worker = add_worker(cluster, name, capacity=Room(4.0, 64_000))
         fill(cluster, worker, f'short-{number}', lasting=False)
     lost = [lose(cluster, f'lost-{number}') for number in range(count)]
-    holds = Holds()
+    holds = WorkerReservations()
     views = list_views(cluster)
-    held = [holds.hold(task, views, AWAY_AT) for task in lost]
+    held = [holds.reserve(task, views, AWAY_AT) for task in lost]
     assert sum(view is not None for view in held) == 2
 
 
@@ -112,17 +120,17 @@
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
     fill(cluster, worker, 'short', lasting=False)
     lost = lose(cluster, 'lost')
-    checks = record_checks(monkeypatch, 'takes')
-    holds = Holds()
+    checks = record_checks(monkeypatch, 'accepts')
+    holds = WorkerReservations()
     views = list_views(cluster)
-    for now in (AWAY_AT, AWAY_AT + HOLD_SECONDS / 2):
+    for now in (AWAY_AT, AWAY_AT + RESERVATION_SECONDS / 2):
         holds.expire(now)
-        view = holds.hold(lost, views, now)
+        view = holds.reserve(lost, views, now)
         assert view is not None
         assert view.worker is worker
     assert checks == [('w', 'lost')]
-    holds.expire(AWAY_AT + HOLD_SECONDS)
-    holds.hold(lost, views, AWAY_AT + HOLD_SECONDS)
+    holds.expire(AWAY_AT + RESERVATION_SECONDS)
+    holds.reserve(lost, views, AWAY_AT + RESERVATION_SECONDS)
     assert len(checks) == 2
 
 
@@ -132,10 +140,10 @@
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
     fill(cluster, worker, 'short', lasting=False)
     cancelled, lost = lose(cluster, 'cancelled'), lose(cluster, 'lost')
-    holds = Holds()
+    holds = WorkerReservations()
     views = list_views(cluster)
-    assert holds.hold(cancelled, views, AWAY_AT) is not None
-    assert holds.hold(lost, views, AWAY_AT) is None
+    assert holds.reserve(cancelled, views, AWAY_AT) is not None
+    assert holds.reserve(lost, views, AWAY_AT) is None
     cluster.cancel('cancelled', AWAY_AT)
     holds.expire(AWAY_AT)
-    assert holds.hold(lost, views, AWAY_AT) is not None
+    assert holds.reserve(lost, views, AWAY_AT) is not None
--- a/tests/test_placing.py
+++ b/tests/test_task_placement.py
@@ -9,18 +9,18 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import (
-    CLOSED_SECONDS,
-    FAILING_JOBS,
     HANG_SECONDS,
-    TRIAL_SECONDS,
-    Health,
+    MAX_FAILED_JOBS,
+    PROBATION_SECONDS,
+    QUARANTINE_SECONDS,
+    WorkerHealth,
     list_hanging,
 )
+from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.placing import FAILED_TRIES, Placer
+from lentilmount.scheduling.placement import MAX_FAILED_STEPS, Placer
 from lentilmount.scheduling.ranking import sort_steps
 from lentilmount.scheduling.reports import EndKind, WorkerState
-from lentilmount.scheduling.sharing import Sharing
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -38,7 +38,7 @@
     cluster: ClusterState, now: float = 10.0
 ) -> list[tuple[Task, Worker]]:
     """Runs one pass."""
-    return run_pass(Placer(cluster, Sharing()), now)
+    return run_pass(Placer(cluster, InterferenceModel()), now)
 
 
 def test_a_worker_is_never_filled_beyond_its_capacity() -> None:
@@ -94,7 +94,7 @@
     """Urgent jobs without room held up filling work, which needs none."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
-    for number in range(3 * FAILED_TRIES):
+    for number in range(3 * MAX_FAILED_STEPS):
         step = make_step(demand=Room(9.0, 1000))
         admit(cluster, make_job(f'urgent-{number}', step))
     low = make_policy(priority=2)
@@ -106,7 +106,7 @@
     """Forty sizes without a worker ended the pass before any filling work."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
-    for number in range(3 * FAILED_TRIES):
+    for number in range(3 * MAX_FAILED_STEPS):
         # The next one asks for less, so the ones before say nothing of it.
         step = make_step(demand=Room(90.0 - number / 10, 1000))
         admit(cluster, make_job(f'urgent-{number}', step))
@@ -119,7 +119,7 @@
     """The largest goes first, and none spoke for the smaller ones after it."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
-    for number in range(3 * FAILED_TRIES):
+    for number in range(3 * MAX_FAILED_STEPS):
         large = make_step(demand=Room(90.0 - number / 10, 1000), lasting=True)
         admit(cluster, make_job(f'large-{number}', large))
     small = make_step(demand=Room(1.0, 1000), lasting=True)
@@ -137,7 +137,7 @@
     for number in range(20):
         step = make_step(demand=Room(9.0 + number, 1000))
         admit(cluster, make_job(f'urgent-{number:02}', step))
-    checks = record_checks(monkeypatch, 'allows')
+    checks = record_checks(monkeypatch, 'can_start')
     assert place(cluster) == []
     assert checks == [
         ('few-cores', 'urgent-00'),
@@ -254,27 +254,27 @@
     """A failing worker, always free, used up the attempts of job after job."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    health = Health()
+    health = WorkerHealth()
     closed = False
-    for number in range(FAILING_JOBS):
+    for number in range(MAX_FAILED_JOBS):
         admit(cluster, make_job(f'j{number}'))
         task = find_task(cluster, f'j{number}')
         run_task(cluster, task, worker)
         cluster.end_run(task, EndKind.FAILED, 2.0)
-        closed = health.note_end(worker, task, EndKind.FAILED, 2.0)
+        closed = health.record_end(worker, task, EndKind.FAILED, 2.0)
     assert closed
     assert place(cluster, now=2.5) == []
-    assert len(place(cluster, now=2.1 + CLOSED_SECONDS)) == 1
+    assert len(place(cluster, now=2.1 + QUARANTINE_SECONDS)) == 1
 
 
 def test_one_bad_job_does_not_close_a_worker() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    health = Health()
+    health = WorkerHealth()
     admit(cluster, make_job('bad', make_step(count=9)))
     for index in range(9):
         task = find_task(cluster, 'bad', 0, index)
-        assert not health.note_end(worker, task, EndKind.FAILED, 1.0)
+        assert not health.record_end(worker, task, EndKind.FAILED, 1.0)
 
 
 def test_a_task_that_uses_no_processor_hangs() -> None:
@@ -294,18 +294,18 @@
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('old', make_step(lasting=True)))
     run_task(cluster, find_task(cluster, 'old'), worker, 0.0)
-    health = Health()
-    health.close(worker, 10.0)
+    health = WorkerHealth()
+    health.quarantine(worker, 10.0)
     admit(cluster, make_job('new', make_step(count=3, lasting=True)))
     opened = worker.quarantined_until + 1.0
     placed = place(cluster, now=opened)
     assert len(placed) == 1
     task = placed[0][0]
     cluster.confirm_start(task, task.run, opened)
-    health.end_trials([worker], opened + 0.5)
+    health.end_probations([worker], opened + 0.5)
     assert place(cluster, now=opened + 0.5) == []
-    health.end_trials([worker], opened + 0.1 + TRIAL_SECONDS)
-    assert len(place(cluster, now=opened + 0.1 + TRIAL_SECONDS)) == 2
+    health.end_probations([worker], opened + 0.1 + PROBATION_SECONDS)
+    assert len(place(cluster, now=opened + 0.1 + PROBATION_SECONDS)) == 2
 
 
 def test_a_worker_over_a_target_gets_nothing_that_fills() -> None:
@@ -316,15 +316,15 @@
     admit(cluster, make_job('serving', step))
     served = find_task(cluster, 'serving')
     run_task(cluster, served, worker, 0.0)
-    sharing = Sharing()
-    sharing.restore([['web', 'light', 0.0]])
+    interference_model = InterferenceModel()
+    interference_model.restore([['web', 'light', 0.0]])
     admit(cluster, make_job('fill', make_step(fills=True, image='light')))
-    placer = Placer(cluster, sharing)
+    placer = Placer(cluster, interference_model)
     served.usage = 60.0
-    sharing.observe(worker, 9.0)
+    interference_model.observe(worker, 9.0)
     assert run_pass(placer, 10.0) == []
     served.usage = 20.0
-    sharing.observe(worker, 11.0)
+    interference_model.observe(worker, 11.0)
     assert len(run_pass(placer, 11.0)) == 1
 
 
@@ -332,11 +332,11 @@
     """Failures told at a takeover at once closed a third of the workers."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    health = Health()
-    for number in range(FAILING_JOBS + 1):
+    health = WorkerHealth()
+    for number in range(MAX_FAILED_JOBS + 1):
         admit(cluster, make_job(f'j{number}'))
         task = find_task(cluster, f'j{number}')
-        assert not health.note_end(worker, task, EndKind.FAILED, 2.0)
+        assert not health.record_end(worker, task, EndKind.FAILED, 2.0)
 
 
 class PlacingMachine(RuleBasedStateMachine):
@@ -345,7 +345,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.cluster = ClusterState()
-        self.placer = Placer(self.cluster, Sharing())
+        self.placer = Placer(self.cluster, InterferenceModel())
         self.now = 0.0
         self.jobs = 0
         for number in range(3):
--- a/tests/test_placing_scale.py
+++ b/tests/test_task_placement_scale.py
@@ -6,10 +6,10 @@
 
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.placing import Placer
+from lentilmount.scheduling.interference import InterferenceModel
+from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import EndKind
-from lentilmount.scheduling.sharing import Sharing
 from lentilmount.scheduling.specs import StepSpec
 from lentilmount.scheduling.views import WorkerView
 from tests.fleet_scene import (
@@ -29,8 +29,8 @@
 
 def count_looks(cluster: ClusterState, monkeypatch: pytest.MonkeyPatch) -> int:
     """Runs one pass; returns how often it asked whether a worker has room."""
-    checks = record_checks(monkeypatch, 'allows')
-    run_pass(Placer(cluster, Sharing()), 10.0)
+    checks = record_checks(monkeypatch, 'can_start')
+    run_pass(Placer(cluster, InterferenceModel()), 10.0)
     return len(checks)
 
 
@@ -54,13 +54,13 @@
 def _watch_renewals(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Returns a list that grows by each worker that is worked out anew."""
     renewed: list[str] = []
-    renew = WorkerView.renew
+    renew = WorkerView.refresh
 
-    def note(view: WorkerView, sharing: Sharing) -> None:
+    def note(view: WorkerView, interference_model: InterferenceModel) -> None:
         renewed.append(view.worker.id)
-        renew(view, sharing)
+        renew(view, interference_model)
 
-    monkeypatch.setattr(WorkerView, 'renew', note)
+    monkeypatch.setattr(WorkerView, 'refresh', note)
     return renewed
 
 
@@ -72,7 +72,7 @@
     workers = [add_worker(cluster, f'w-{n}') for n in range(WORKERS)]
     admit(cluster, make_job('big', make_step(demand=Room(99.0, 1))))
     renewed = _watch_renewals(monkeypatch)
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     run_pass(placer, 10.0)
     assert len(renewed) == WORKERS
     renewed.clear()
@@ -93,7 +93,7 @@
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('a', make_step(count=2, demand=Room(8.0, 1000))))
-    placer = Placer(cluster, Sharing())
+    placer = Placer(cluster, InterferenceModel())
     ((first, _),) = run_pass(placer, 10.0)
     assert run_pass(placer, 10.01) == []
     cluster.end_run(first, EndKind.DONE, 10.02)
--- a/tests/test_unanswered_orders.py
+++ b/tests/test_unanswered_orders.py
@@ -15,7 +15,11 @@
 from lentilmount.control.links import Link
 from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.health import MOST_CLOSED, STOP_SECONDS, Health
+from lentilmount.scheduling.health import (
+    MAX_QUARANTINED_SHARE,
+    STOP_TIMEOUT_SECONDS,
+    WorkerHealth,
+)
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
@@ -285,10 +289,10 @@
 def test_leases_of_few_workers_at_once_are_left_to_run_out() -> None:
     """An owner whose own orders get lost would end the work of all workers."""
     workers = open_overdue(20)
-    health = Health()
-    assert health.review_leases(workers, 1.0 + STOP_SECONDS) == ([], [])
-    left, _ = health.review_leases(workers, 1.1 + STOP_SECONDS)
-    assert len(left) == MOST_CLOSED * len(workers)
+    health = WorkerHealth()
+    assert health.review_leases(workers, 1.0 + STOP_TIMEOUT_SECONDS) == ([], [])
+    left, _ = health.review_leases(workers, 1.1 + STOP_TIMEOUT_SECONDS)
+    assert len(left) == MAX_QUARANTINED_SHARE * len(workers)
     assert [w for w in workers if not w.renews_leases] == left
 
 
@@ -296,8 +300,8 @@
     """A worker that came back after a cut lost all its tasks for one stop."""
     (worker,) = open_overdue(1)
     worker.reachable = False
-    now = 1.1 + STOP_SECONDS
-    assert Health().review_leases([worker], now) == ([], [])
+    now = 1.1 + STOP_TIMEOUT_SECONDS
+    assert WorkerHealth().review_leases([worker], now) == ([], [])
     link = Link(
         worker, ClusterState(), _LossyCalls(), NoEvents(), 6.0, lambda: now
     )
@@ -309,15 +313,21 @@
         keeping.cancel()
 
     run(play())
-    assert Health().review_leases([worker], now) == ([], [])
+    assert WorkerHealth().review_leases([worker], now) == ([], [])
 
 
 def test_leases_are_renewed_again_once_nothing_is_left_to_stop() -> None:
     """A worker on which a task ended by itself lost all its other tasks."""
     workers = open_overdue(1)
-    health = Health()
-    assert health.review_leases(workers, 1.1 + STOP_SECONDS) == (workers, [])
+    health = WorkerHealth()
+    assert health.review_leases(workers, 1.1 + STOP_TIMEOUT_SECONDS) == (
+        workers,
+        [],
+    )
     for task in workers[0].tasks.values():
         task.phase = TaskPhase.RUNNING
-    assert health.review_leases(workers, 2.0 + STOP_SECONDS) == ([], workers)
+    assert health.review_leases(workers, 2.0 + STOP_TIMEOUT_SECONDS) == (
+        [],
+        workers,
+    )
     assert workers[0].renews_leases
