--- a/lentilmount/control/campaign.py
+++ b/lentilmount/control/campaign.py
@@ -33,7 +33,7 @@
 from lentilmount.platform.advice import AdviceCalls
 from lentilmount.platform.store import PlatformTable
 from lentilmount.platform.workers import WorkerCalls
-from lentilmount.scheduling.inheritance import InheritedLeases
+from lentilmount.scheduling.takeover import InheritedLeases
 
 log = logbook.Logger('campaign')
 
@@ -116,7 +116,7 @@
     may_own: Callable[[str], Awaitable[bool]]
     owner: Owner | None = None
     _stopping: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _is_written: bool = True
+    _are_all_recorded: bool = True
     _inherited: InheritedLeases = attrs.Factory(InheritedLeases)
     _tenure: float = 0.0
     _handed_over: int = 0
@@ -169,21 +169,21 @@
         data = decode(told.data, told.epoch)
         is_held = told.holder != ''
         is_seen = keeper.has_seen_writes(make_owner_key(self.settings.service))
-        self._is_written = not data.is_unwritten and (
+        self._are_all_recorded = not data.has_unrecorded_starts and (
             is_seen or told.epoch == 0
         )
         inherited = InheritedLeases(
             data.remaining,
             told.seen_at,
             is_held,
-            data.doubt if is_seen else None,
+            data.unrecorded_seconds if is_seen else None,
         )
         self._inherited = inherited
         now = self.clock.monotonic()
         kept = LeaseData(
-            not self._is_written,
-            inherited.list_left(CLOCK_DRIFT, now) if is_held else {},
-            inherited.get_doubt_left(CLOCK_DRIFT, now),
+            not self._are_all_recorded,
+            inherited.list_remaining(CLOCK_DRIFT, now) if is_held else {},
+            inherited.get_unrecorded_seconds(CLOCK_DRIFT, now),
         )
         return kept.encode(told.epoch + 1)
 
@@ -203,7 +203,7 @@
             self.make_calls(lease.epoch),
             self.clock,
             self._get_lapse_seconds(),
-            self._is_written,
+            self._are_all_recorded,
             self.is_outage,
             self.advice,
             self.metrics,
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -30,10 +30,10 @@
 )
 from lentilmount.coordination.transactions import make_token
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, Task, TaskPhase
 from lentilmount.scheduling.rows import encode_state
+from lentilmount.scheduling.takeover import UnrecordedStarts
 from lentilmount.waiting import wait_briefly
 
 log = logbook.Logger('commits')
@@ -104,7 +104,7 @@
       lose: Called when the lease is lost.
       retention: Finds jobs whose rows can go.
       forget: Called with the jobs whose rows are gone.
-      inheritance: What the previous owner may have started unwritten.
+      unrecorded_starts: What the previous owner may have started unwritten.
     """
 
     service: str
@@ -119,7 +119,7 @@
     lose: Callable[[str], None]
     retention: Retention
     forget: Callable[[list[Job]], None]
-    inheritance: Inheritance | None = None
+    unrecorded_starts: UnrecordedStarts | None = None
     _dirty: asyncio.Event = attrs.field(factory=asyncio.Event)
     _is_closing: bool = False
     _has_sent_unwritten: bool = False
@@ -148,7 +148,7 @@
         self._unsent.append(task)
         self._dirty.set()
 
-    def send_unwritten(self) -> None:
+    def send_unrecorded(self) -> None:
         """Sends all starts at once: nobody can take over meanwhile.
 
         Those of a write on its way too: it may take as long as the outage.
@@ -269,9 +269,11 @@
         Returns:
           The silent workers, as told.
         """
-        is_unwritten = self._has_sent_unwritten and leaves_some
+        has_unrecorded_starts = self._has_sent_unwritten and leaves_some
         now = self.clock.monotonic()
-        data = describe(self.cluster, self.inheritance, is_unwritten, now)
+        data = describe(
+            self.cluster, self.unrecorded_starts, has_unrecorded_starts, now
+        )
         for worker_id in data.remaining:
             self.cluster.workers[worker_id].is_reported_unreachable = True
         self.lease.data = data.encode(self.lease.epoch)
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatch.py
@@ -13,9 +13,9 @@
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.coordination.leases import Lease
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import Job, Task, Worker
 from lentilmount.scheduling.placement import Placer
+from lentilmount.scheduling.takeover import UnrecordedStarts
 from lentilmount.waiting import wait_briefly
 
 log = logbook.Logger('owner')
@@ -58,7 +58,7 @@
       placer: Chooses workers.
       commits: Writes what was placed, and has it sent.
       advice: Knows which workers may run advised steps.
-      inheritance: What the previous owner may have started unwritten.
+      unrecorded_starts: What the previous owner may have started unwritten.
       metrics: What the daemon counts.
       monotonic: The clock for durations.
       lease: The owner's lease.
@@ -71,7 +71,7 @@
     placer: Placer
     commits: Commits
     advice: Advice
-    inheritance: Inheritance
+    unrecorded_starts: UnrecordedStarts
     metrics: ControlMetrics
     monotonic: Callable[[], float]
     lease: Lease
@@ -114,7 +114,7 @@
         now = self.monotonic()
         started: set[Job] = set()
         allows = self.advice.allows
-        if self.inheritance.is_in_doubt(now):
+        if self.unrecorded_starts.may_exist(now):
             allows = self._allow_new
         starts: list[Start] = []
         for task, worker in self.placer.place(now, allows):
@@ -124,15 +124,15 @@
                 started.add(task.job)
             starts.append((str(task.id), task.run, worker.id))
         log_starts(starts)
-        if not self.inheritance.is_in_doubt(now) and not self.is_outage():
+        if not self.unrecorded_starts.may_exist(now) and not self.is_outage():
             for task in self.placer.choose_moves(now):
                 self.stop(task, 'it serves better elsewhere')
         for job in started:
             self.metrics.observe_first_start(now - job.accepted_at)
         if self.is_outage():
-            self.commits.send_unwritten()
+            self.commits.send_unrecorded()
 
     def _allow_new(self, task: Task, worker: Worker) -> bool:
-        if self.inheritance.holds(task):
+        if self.unrecorded_starts.affects(task):
             return False
         return self.advice.allows(task, worker)
--- a/lentilmount/control/leasedata.py
+++ b/lentilmount/control/leasedata.py
@@ -9,7 +9,10 @@
 import attrs
 
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.inheritance import Inheritance, list_silent
+from lentilmount.scheduling.takeover import (
+    UnrecordedStarts,
+    list_unreachable_lease_seconds,
+)
 
 UNWRITTEN = 'unwritten'
 """Where a lease's row tells that tasks may run of which no row tells."""
@@ -25,7 +28,7 @@
 """The epoch of the owner that told of leases on workers."""
 
 
-def is_unwritten(data: Mapping[str, Any]) -> bool:
+def has_unrecorded_starts(data: Mapping[str, Any]) -> bool:
     """Tells from a lease's data whether tasks may run that no row tells of."""
     return bool(data.get(UNWRITTEN))
 
@@ -35,17 +38,17 @@
     """What an owner tells with its lease.
 
     Attributes:
-      is_unwritten: Whether tasks may run of which no row tells.
+      has_unrecorded_starts: Whether tasks may run of which no row tells.
       remaining: Seconds for which leases may still run on workers, by id,
         counted from before the row was written. Of other workers nothing is
         known.
-      doubt: Seconds after which no such task runs any more, or None where that
-        is not known; counted in the same way.
+      unrecorded_seconds: Seconds after which no such task runs any more, or
+        None where that is not known; counted in the same way.
     """
 
-    is_unwritten: bool = False
+    has_unrecorded_starts: bool = False
     remaining: Mapping[str, float] = attrs.Factory(dict)
-    doubt: float | None = None
+    unrecorded_seconds: float | None = None
 
     def encode(self, epoch: int) -> dict[str, Any]:
         """Builds a lease's data.
@@ -54,10 +57,10 @@
           epoch: That of the owner that tells it.
         """
         data: dict[str, Any] = {}
-        if self.is_unwritten:
+        if self.has_unrecorded_starts:
             data[UNWRITTEN] = True
-            if self.doubt is not None:
-                data[DOUBT] = _round_up(self.doubt)
+            if self.unrecorded_seconds is not None:
+                data[DOUBT] = _round_up(self.unrecorded_seconds)
         if self.remaining:
             data[TOLD_BY] = epoch
             data[REMAINING] = {
@@ -80,13 +83,13 @@
     """
     is_current = data.get(TOLD_BY) == epoch
     remaining = data[REMAINING] if is_current else {}
-    return LeaseData(is_unwritten(data), remaining, data.get(DOUBT))
+    return LeaseData(has_unrecorded_starts(data), remaining, data.get(DOUBT))
 
 
 def describe(
     cluster: ClusterState,
-    inheritance: Inheritance | None,
-    is_unwritten: bool,
+    unrecorded_starts: UnrecordedStarts | None,
+    has_unrecorded_starts: bool,
     now: float,
 ) -> LeaseData:
     """Builds what an owner tells with a write.
@@ -98,15 +101,20 @@
 
     Args:
       cluster: What the owner knows.
-      inheritance: What the previous owner may have started unwritten.
-      is_unwritten: Whether starts were sent that no row tells of after it.
+      unrecorded_starts: What the previous owner may have started unwritten.
+      has_unrecorded_starts: Whether starts were sent that no row tells of
+        after it.
       now: Monotonic time.
     """
-    silent = list_silent(cluster, now)
-    doubt = inheritance.get_left(now) if inheritance is not None else None
-    if is_unwritten:
+    silent = list_unreachable_lease_seconds(cluster, now)
+    unrecorded_seconds = (
+        unrecorded_starts.get_remaining_seconds(now)
+        if unrecorded_starts is not None
+        else None
+    )
+    if has_unrecorded_starts:
         return LeaseData(True, silent)
-    return LeaseData(doubt is not None, silent, doubt)
+    return LeaseData(unrecorded_seconds is not None, silent, unrecorded_seconds)
 
 
 def _round_up(seconds: float) -> float:
--- a/lentilmount/control/orders.py
+++ b/lentilmount/control/orders.py
@@ -177,13 +177,13 @@
         link.is_probed = True
         pause = RETRY_SECONDS
         try:
-            while self._is_silent(link):
+            while self._ignores_commands(link):
                 pause = await _back_off(pause)
                 await self._send_stop(link, name, run - 1)
         finally:
             link.is_probed = False
 
-    def _is_silent(self, link: Link) -> bool:
+    def _ignores_commands(self, link: Link) -> bool:
         worker = link.worker
         is_known = self.links.get(worker.id) is link and worker.reachable
         return is_known and not worker.answers_commands
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -28,17 +28,17 @@
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import WorkerHealth
-from lentilmount.scheduling.inheritance import (
-    Inheritance,
-    InheritedLeases,
-    list_remaining,
-    shorten_leases,
-)
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Job, Task, TaskPhase, Worker
 from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
+from lentilmount.scheduling.takeover import (
+    InheritedLeases,
+    UnrecordedStarts,
+    apply_lease_seconds,
+    list_lease_seconds,
+)
 
 log = logbook.Logger('owner')
 
@@ -79,8 +79,8 @@
       clock: The clocks.
       lapse_seconds: After how long the leases that the previous owner gave
         have run out on a worker that cannot be reached.
-      is_written: Whether the rows surely tell of all that the previous owner
-        has started.
+      are_all_recorded: Whether the rows surely tell of all that the previous
+        owner has started.
       is_outage: Tells whether no daemon at all reaches the store.
       advice: How the advice service is called, if there is one.
       metrics: What the daemon counts.
@@ -96,7 +96,7 @@
         calls: WorkerCalls,
         clock: Clock,
         lapse_seconds: float,
-        is_written: bool,
+        are_all_recorded: bool,
         is_outage: Callable[[], bool],
         advice: AdviceCalls | None,
         metrics: ControlMetrics,
@@ -112,7 +112,7 @@
         self._clock = clock
         self._lapse_seconds = lapse_seconds
         self._inherited = inherited
-        self._is_written = is_written
+        self._are_all_recorded = are_all_recorded
         self._is_outage = is_outage
         self._metrics = metrics
         self._wake = asyncio.Event()
@@ -182,20 +182,27 @@
             return
         now = self._clock.monotonic()
         self._take_leases()
-        doubt = self._inherited.get_doubt_left(CLOCK_DRIFT, now)
-        inheritance = Inheritance(
+        unrecorded_seconds = self._inherited.get_unrecorded_seconds(
+            CLOCK_DRIFT, now
+        )
+        unrecorded_starts = UnrecordedStarts(
             self.cluster,
-            self._is_written,
-            now + (lapse_seconds if doubt is None else doubt),
+            self._are_all_recorded,
+            now
+            + (
+                lapse_seconds
+                if unrecorded_seconds is None
+                else unrecorded_seconds
+            ),
             frozenset(self.cluster.jobs),
         )
-        self._commits.inheritance = inheritance
+        self._commits.unrecorded_starts = unrecorded_starts
         dispatch = Dispatch(
             self.cluster,
             Placer(self.cluster, self._interference_model),
             self._commits,
             self._advice,
-            inheritance,
+            unrecorded_starts,
             self._metrics,
             self._clock.monotonic,
             self._lease,
@@ -210,7 +217,7 @@
             extra={
                 'epoch': self._lease.epoch,
                 'ready': len(self.cluster.ready),
-                'written': self._is_written,
+                'written': self._are_all_recorded,
             },
         )
         self.at_work.set()
@@ -231,8 +238,8 @@
 
     def _take_leases(self) -> None:
         told = self._inherited
-        shorten_leases(self.cluster, told.remaining, CLOCK_DRIFT, told.at)
-        for worker_id in told.remaining if told.are_withheld else ():
+        apply_lease_seconds(self.cluster, told.remaining, CLOCK_DRIFT, told.at)
+        for worker_id in told.remaining if told.are_still_published else ():
             worker = self.cluster.workers.get(worker_id)
             if worker is not None:
                 worker.is_reported_unreachable = True
@@ -241,8 +248,8 @@
         """Lists for how long leases may still run on workers."""
         now = self._clock.monotonic()
         if not self.at_work.is_set():
-            return self._inherited.list_left(CLOCK_DRIFT, now)
-        return list_remaining(self.cluster, now)
+            return self._inherited.list_remaining(CLOCK_DRIFT, now)
+        return list_lease_seconds(self.cluster, now)
 
     def stop(self) -> None:
         """Makes `run` return."""
--- a/lentilmount/scheduling/rows.py
+++ b/lentilmount/scheduling/rows.py
@@ -148,14 +148,14 @@
     if worker:
         known = cluster.workers.get(worker)
         if known is None:
-            known = make_unregistered(worker)
+            known = make_unregistered_worker(worker)
             cluster.workers[worker] = known
         if not known.has_answered:
             known.leases_expire_at = max(known.leases_expire_at, lapses_at)
         cluster.restore_placed(task, known)
 
 
-def make_unregistered(worker: str) -> Worker:
+def make_unregistered_worker(worker: str) -> Worker:
     """Builds a worker that only a row speaks of, to wait for its leases."""
     entry = WorkerEntry(worker, 0, '', '', '', WorkerState.DRAINING, Room(), ())
     return Worker(entry, is_registered=False)
--- a/lentilmount/scheduling/inheritance.py
+++ b/lentilmount/scheduling/takeover.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class Inheritance:
+class UnrecordedStarts:
     """Doubt about tasks that the previous owner may have started unwritten.
 
     In an outage for all daemons an owner goes on starting tasks that it
@@ -25,32 +25,33 @@
 
     Attributes:
       cluster: Jobs and workers.
-      is_written: Whether the rows surely tell of all starts.
-      until: Monotonic time by which the previous owner's leases have run out.
+      are_all_recorded: Whether the rows surely tell of all starts.
+      expires_at: Monotonic time by which the previous owner's leases have run
+        out.
       jobs: Ids of the jobs that were inherited.
     """
 
     cluster: ClusterState
-    is_written: bool
-    until: float
+    are_all_recorded: bool
+    expires_at: float
     jobs: frozenset[str]
 
-    def is_in_doubt(self, now: float) -> bool:
+    def may_exist(self, now: float) -> bool:
         """Tells whether some worker may run what nobody has written."""
-        if self.is_written or now > self.until:
+        if self.are_all_recorded or now > self.expires_at:
             return False
         return any(
             not worker.has_answered for worker in self.cluster.workers.values()
         )
 
-    def get_left(self, now: float) -> float | None:
+    def get_remaining_seconds(self, now: float) -> float | None:
         """Returns for how many seconds a doubt lasts at most, or None.
 
         An owner in doubt tells it to the next one, whose rows say no more.
         """
-        return self.until - now if self.is_in_doubt(now) else None
+        return self.expires_at - now if self.may_exist(now) else None
 
-    def holds(self, task: Task) -> bool:
+    def affects(self, task: Task) -> bool:
         """Tells whether a task is one that a doubt is about."""
         return task.id.job in self.jobs
 
@@ -62,18 +63,18 @@
     Attributes:
       remaining: Seconds for which they may still run, by the worker's id.
       at: Monotonic time from which these seconds count at the latest.
-      are_withheld: Whether the row still tells it, so that none of them may be
-        renewed yet.
-      doubt: Seconds for which tasks may still run that no row tells of, or None
-        where that is not known; counted in the same way.
+      are_still_published: Whether the row still tells it, so that none of them
+        may be renewed yet.
+      unrecorded_seconds: Seconds for which tasks may still run that no row
+        tells of, or None where that is not known; counted in the same way.
     """
 
     remaining: Mapping[str, float] = attrs.Factory(dict)
     at: float = 0.0
-    are_withheld: bool = False
-    doubt: float | None = None
+    are_still_published: bool = False
+    unrecorded_seconds: float | None = None
 
-    def list_left(self, drift: float, now: float) -> dict[str, float]:
+    def list_remaining(self, drift: float, now: float) -> dict[str, float]:
         """Returns the seconds that are left now, by the worker's id.
 
         Args:
@@ -85,17 +86,17 @@
             for name, seconds in self.remaining.items()
         }
 
-    def get_doubt_left(self, drift: float, now: float) -> float | None:
+    def get_unrecorded_seconds(self, drift: float, now: float) -> float | None:
         """Returns the seconds of doubt that are left now, or None."""
-        if self.doubt is None:
+        if self.unrecorded_seconds is None:
             return None
-        return self._count_down(self.doubt, drift, now)
+        return self._count_down(self.unrecorded_seconds, drift, now)
 
     def _count_down(self, seconds: float, drift: float, now: float) -> float:
         return max(0.0, seconds * (1 + drift) - (now - self.at))
 
 
-def list_remaining(cluster: ClusterState, now: float) -> dict[str, float]:
+def list_lease_seconds(cluster: ClusterState, now: float) -> dict[str, float]:
     """Lists for how long leases may still run on workers.
 
     Told to the next owner with the release of the service. Without it each
@@ -114,7 +115,9 @@
     }
 
 
-def list_silent(cluster: ClusterState, now: float) -> dict[str, float]:
+def list_unreachable_lease_seconds(
+    cluster: ClusterState, now: float
+) -> dict[str, float]:
     """Lists for how long leases may still run on workers that do not answer.
 
     Told with each write of the lease, since an owner that is killed writes no
@@ -122,28 +125,28 @@
     wait for them anew.
 
     Returns:
-      See `list_remaining`.
+      See `list_lease_seconds`.
     """
     return {
         name: seconds
-        for name, seconds in list_remaining(cluster, now).items()
-        if is_silent(cluster.workers[name])
+        for name, seconds in list_lease_seconds(cluster, now).items()
+        if is_unreachable(cluster.workers[name])
     }
 
 
-def is_silent(worker: Worker) -> bool:
+def is_unreachable(worker: Worker) -> bool:
     """Tells whether a worker does not answer, as far as owners know."""
     is_missed = worker.has_missed_poll or worker.is_reported_unreachable
     return is_missed and not worker.reachable
 
 
-def shorten_leases(
+def apply_lease_seconds(
     cluster: ClusterState,
     remaining: Mapping[str, float],
     drift: float,
     now: float,
 ) -> None:
-    """Takes over what `list_remaining` told at the release.
+    """Takes over what `list_lease_seconds` told at the release.
 
     Args:
       cluster: The book as restored, before any worker was asked.
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -5,11 +5,11 @@
 import orjson
 
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.inheritance import Inheritance
 from lentilmount.scheduling.model import JobState, Task, TaskPhase
 from lentilmount.scheduling.reconciliation import Reconciler, StaleRun
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
+from lentilmount.scheduling.takeover import UnrecordedStarts
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -288,15 +288,17 @@
     add_worker(cluster, 'near')
     cut = add_worker(cluster, 'cut')
     cut.has_answered = False
-    doubt = Inheritance(cluster, False, 17.0, frozenset({'old'}))
-    assert doubt.is_in_doubt(10.0)
-    assert doubt.holds(find_task(cluster, 'old'))
-    assert not doubt.holds(find_task(cluster, 'new'))
-    assert not doubt.is_in_doubt(17.1)
+    doubt = UnrecordedStarts(cluster, False, 17.0, frozenset({'old'}))
+    assert doubt.may_exist(10.0)
+    assert doubt.affects(find_task(cluster, 'old'))
+    assert not doubt.affects(find_task(cluster, 'new'))
+    assert not doubt.may_exist(17.1)
     cut.has_answered = True
-    assert not doubt.is_in_doubt(10.0)
+    assert not doubt.may_exist(10.0)
     cut.has_answered = False
-    assert not Inheritance(cluster, True, 17.0, frozenset()).is_in_doubt(10.0)
+    assert not UnrecordedStarts(cluster, True, 17.0, frozenset()).may_exist(
+        10.0
+    )
 
 
 def test_one_end_of_a_gang_stands_for_all() -> None:
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -12,7 +12,7 @@
 from lentilmount.clock import ManualClock
 from lentilmount.control import commits as commits_module
 from lentilmount.control.commits import COMMIT_ROWS, Commits
-from lentilmount.control.leasedata import is_unwritten
+from lentilmount.control.leasedata import has_unrecorded_starts
 from lentilmount.control.links import Link
 from lentilmount.control.retention import Retention
 from lentilmount.coordination.leases import Lease, LeaseKeeper
@@ -253,14 +253,14 @@
             task = find_task(cluster, f'job-{number}')
             cluster.place([task], worker, 1.0)
             commits.add_start(task)
-        commits.send_unwritten()
+        commits.send_unrecorded()
         told: list[bool] = []
         running = asyncio.create_task(commits.run())
         while len(told) < 2:
             version = slow.version
             while slow.version == version:
                 await asyncio.sleep(0.001)
-            told.append(is_unwritten(slow.bodies[key]['data']))
+            told.append(has_unrecorded_starts(slow.bodies[key]['data']))
         running.cancel()
         assert told == [True, False]
 
@@ -287,7 +287,7 @@
         commits.add_start(first)
         running = asyncio.create_task(commits.run())
         await slow.begun.wait()
-        commits.send_unwritten()
+        commits.send_unrecorded()
         running.cancel()
         assert sent == [first]
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -12,8 +12,11 @@
 from lentilmount.control.links import Link
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.inheritance import list_remaining, shorten_leases
 from lentilmount.scheduling.model import Worker
+from lentilmount.scheduling.takeover import (
+    apply_lease_seconds,
+    list_lease_seconds,
+)
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import (
     add_worker,
@@ -100,13 +103,17 @@
     reachable: bool,
 ) -> None:
     """A worker lost just before a handover kept its tasks for a lease more."""
-    assert list_remaining(make_placed(reachable, 15.0)[0], 12.0) == {'w': 3.0}
-    assert list_remaining(make_placed(reachable, 15.0)[0], 16.0) == {'w': 0.0}
+    assert list_lease_seconds(make_placed(reachable, 15.0)[0], 12.0) == {
+        'w': 3.0
+    }
+    assert list_lease_seconds(make_placed(reachable, 15.0)[0], 16.0) == {
+        'w': 0.0
+    }
 
 
 def test_unknown_leases_are_not_told_as_over() -> None:
     """What a worker was found to run may have a lease of an earlier owner."""
-    assert list_remaining(make_placed(True, 0.0)[0], 12.0) == {}
+    assert list_lease_seconds(make_placed(True, 0.0)[0], 12.0) == {}
 
 
 def test_a_renewal_on_its_way_is_told() -> None:
@@ -121,17 +128,17 @@
     link.choose_lease_end()
     clock.advance(2.0)
     link.choose_lease_end()
-    told = list_remaining(cluster, clock.monotonic())
+    told = list_lease_seconds(cluster, clock.monotonic())
     assert told['w'] >= LEASE_SECONDS
 
 
 def test_what_was_told_only_shortens_the_wait_for_a_worker_not_heard() -> None:
     cluster, worker = make_placed(False, 15.0)
     worker.has_answered = False
-    shorten_leases(cluster, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
+    apply_lease_seconds(cluster, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
     assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
-    shorten_leases(cluster, {'w': 30.0}, 0.1, 10.0)
+    apply_lease_seconds(cluster, {'w': 30.0}, 0.1, 10.0)
     assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
     worker.has_answered = True
-    shorten_leases(cluster, {'w': 0.0}, 0.1, 10.0)
+    apply_lease_seconds(cluster, {'w': 0.0}, 0.1, 10.0)
     assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -24,11 +24,11 @@
 from lentilmount.control.links import Link
 from lentilmount.coordination.leases import CLOCK_DRIFT
 from lentilmount.platform.workers import Verdict, WorkerCalls
-from lentilmount.scheduling.inheritance import (
-    Inheritance,
+from lentilmount.scheduling.takeover import (
     InheritedLeases,
-    list_remaining,
-    list_silent,
+    UnrecordedStarts,
+    list_lease_seconds,
+    list_unreachable_lease_seconds,
 )
 from lentilmount.scheduling.views import is_open
 from lentilmount.upstream.http import HttpCaller
@@ -142,11 +142,11 @@
 def test_only_workers_that_missed_a_look_are_told_as_silent() -> None:
     """A worker not asked yet may hold any lease of the owner before."""
     cluster, worker = make_placed(False, 15.0)
-    assert list_silent(cluster, 12.0) == {}
+    assert list_unreachable_lease_seconds(cluster, 12.0) == {}
     worker.has_missed_poll = True
-    assert list_silent(cluster, 12.0) == {'w': 3.0}
+    assert list_unreachable_lease_seconds(cluster, 12.0) == {'w': 3.0}
     worker.reachable = True
-    assert list_silent(cluster, 12.0) == {}
+    assert list_unreachable_lease_seconds(cluster, 12.0) == {}
 
 
 def test_a_worker_told_as_silent_gets_no_lease_before_it_is_told_anew() -> None:
@@ -163,12 +163,14 @@
     )
     link.note_clock(1000)
     end = link.choose_lease_end()
-    told = list_remaining(cluster, clock.monotonic())
+    told = list_lease_seconds(cluster, clock.monotonic())
     worker.is_reported_unreachable = True
     clock.advance(1.0)
     assert link.choose_lease_end() == end
     assert link.choose_start_deadline() == end
-    assert list_remaining(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
+    assert (
+        list_lease_seconds(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
+    )
     assert not is_open(worker, clock.monotonic())
     worker.is_reported_unreachable = False
     assert link.choose_lease_end() > end
@@ -177,9 +179,9 @@
 def test_what_was_told_counts_from_when_its_row_was_seen() -> None:
     """Each takeover added the time for which nobody owned the service."""
     told = InheritedLeases({'w': 5.0}, at=10.0)
-    left = told.list_left(CLOCK_DRIFT, 12.0)
+    left = told.list_remaining(CLOCK_DRIFT, 12.0)
     assert left == {'w': pytest.approx(5.0 * (1 + CLOCK_DRIFT) - 2.0)}
-    assert told.list_left(CLOCK_DRIFT, 20.0) == {'w': 0.0}
+    assert told.list_remaining(CLOCK_DRIFT, 20.0) == {'w': 0.0}
 
 
 def test_what_an_earlier_owner_told_is_not_believed() -> None:
@@ -194,15 +196,15 @@
     """An owner replaced while in doubt left a task that could run twice."""
     cluster, worker = make_placed(False, 15.0)
     worker.has_answered = False
-    doubt = Inheritance(cluster, False, 17.0, frozenset({'job'}))
+    doubt = UnrecordedStarts(cluster, False, 17.0, frozenset({'job'}))
     told = decode(describe(cluster, doubt, False, 12.0).encode(4), 4)
-    assert told.is_unwritten
-    assert told.doubt == 5.0
+    assert told.has_unrecorded_starts
+    assert told.unrecorded_seconds == 5.0
     own = decode(describe(cluster, doubt, True, 12.0).encode(4), 4)
-    assert own.is_unwritten
-    assert own.doubt is None
+    assert own.has_unrecorded_starts
+    assert own.unrecorded_seconds is None
     worker.has_answered = True
-    assert not describe(cluster, doubt, False, 12.0).is_unwritten
+    assert not describe(cluster, doubt, False, 12.0).has_unrecorded_starts
 
 
 def test_a_lease_of_which_no_write_was_seen_is_taken_in_doubt() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -18,10 +18,10 @@
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable
 from lentilmount.platform.workers import WorkerCalls
-from lentilmount.scheduling.inheritance import InheritedLeases
 from lentilmount.scheduling.model import TaskPhase
 from lentilmount.scheduling.reports import WorkerState
-from lentilmount.scheduling.rows import make_unregistered
+from lentilmount.scheduling.rows import make_unregistered_worker
+from lentilmount.scheduling.takeover import InheritedLeases
 from lentilmount.upstream.http import HttpCaller
 from stand_ins.rowstore import RowStore
 from tests.fleet_scene import (
@@ -209,7 +209,7 @@
             admit(cluster, make_job('a', make_step(lasting=True)))
             task = find_task(cluster, 'a')
             task.run = 1
-            worker = cluster.workers['w'] = make_unregistered('w')
+            worker = cluster.workers['w'] = make_unregistered_worker('w')
             cluster.restore_placed(task, worker)
             owner._add_link(worker)
             owner._meet(make_entry('w', state=WorkerState.DRAINING))
