--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -16,8 +16,8 @@
     make_state_key,
 )
 from lentilmount.control.leasedata import describe
-from lentilmount.control.links import Link
 from lentilmount.control.retention import Retention
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import Lease, LeaseKeeper, LeaseLostError
 from lentilmount.coordination.table import (
     ConflictError,
@@ -83,7 +83,7 @@
       waiting: Ids of the jobs that had changed by then and are not written.
     """
 
-    received: list[tuple[Link, int, int]]
+    received: list[tuple[WorkerSession, int, int]]
     waiting: set[str]
 
 
@@ -98,10 +98,10 @@
       lease: The lease.
       cluster: What is written.
       interference_model: What was learned of interference.
-      links: Links, told which ends are written.
+      sessions: Links, told which ends are written.
       clock: The clocks.
       send: Starts a task whose place is written.
-      lose: Called when the lease is lost.
+      handle_lease_lost: Called when the lease is lost.
       retention: Finds jobs whose rows can go.
       forget: Called with the jobs whose rows are gone.
       unrecorded_starts: What the previous owner may have started unwritten.
@@ -113,10 +113,10 @@
     lease: Lease
     cluster: ClusterState
     interference_model: InterferenceModel
-    links: dict[str, Link]
+    sessions: dict[str, WorkerSession]
     clock: Clock
     send: Callable[[Task], None]
-    lose: Callable[[str], None]
+    handle_lease_lost: Callable[[str], None]
     retention: Retention
     forget: Callable[[list[Job]], None]
     unrecorded_starts: UnrecordedStarts | None = None
@@ -207,7 +207,8 @@
     async def _commit(self) -> None:
         """Writes what changed, then lets workers forget the ends in it."""
         received = [
-            (link, link.life, link.received) for link in self.links.values()
+            (session, session.incarnation, session.received_end)
+            for session in self.sessions.values()
         ]
         jobs = self._take_dirty()
         self._in_write, self._unsent = self._unsent, []
@@ -290,8 +291,8 @@
             older.waiting -= written
         self._marks.append(mark)
         while self._marks and not self._marks[0].waiting:
-            for link, life, number in self._marks.popleft().received:
-                link.acknowledge(life, number)
+            for session, incarnation, number in self._marks.popleft().received:
+                session.acknowledge(incarnation, number)
 
     async def _write(
         self, operations: list[Operation], jobs: list[Job]
@@ -303,7 +304,7 @@
                 await self.keeper.renew(self.lease, operations, token)
                 return True
             except LeaseLostError:
-                self.lose('another daemon took the lease')
+                self.handle_lease_lost('another daemon took the lease')
                 return False
             except ConflictError as error:
                 log.error('A row of ours was changed: {}', error)
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -15,13 +15,13 @@
 from lentilmount.control.dispatch import Dispatch
 from lentilmount.control.gauges import refresh_gauges
 from lentilmount.control.intake import Intake
-from lentilmount.control.links import Link
 from lentilmount.control.metrics import ControlMetrics
-from lentilmount.control.orders import Orders
 from lentilmount.control.registry import follow_workers
 from lentilmount.control.retention import Retention
 from lentilmount.control.steering import Steering
 from lentilmount.control.takeover import take_over
+from lentilmount.control.worker_commands import CommandSender
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import CLOCK_DRIFT, Lease, LeaseKeeper
 from lentilmount.platform.advice import AdviceCalls
 from lentilmount.platform.store import PlatformTable
@@ -103,7 +103,7 @@
         inherited: InheritedLeases,
     ):
         self.cluster = ClusterState()
-        self.links: dict[str, Link] = {}
+        self.sessions: dict[str, WorkerSession] = {}
         self.at_work = asyncio.Event()
         self._settings = settings
         self._table = table
@@ -124,10 +124,10 @@
         self._advice = Advice(
             self.cluster, advice, clock.monotonic, self._wake.set
         )
-        self._orders = Orders(
+        self._commands = CommandSender(
             self.cluster,
             calls,
-            self.links,
+            self.sessions,
             self,
             clock.monotonic,
             self._spawn,
@@ -138,7 +138,7 @@
             self.cluster,
             interference_model,
             WorkerHealth(),
-            self._orders,
+            self._commands,
             metrics,
         )
         self._commits = Commits(
@@ -148,10 +148,10 @@
             lease,
             self.cluster,
             interference_model,
-            self.links,
+            self.sessions,
             clock,
-            self._orders.start,
-            self.lose,
+            self._commands.start,
+            self.handle_lease_lost,
             Retention(settings.service, self.cluster, settings.status_seconds),
             self._forget,
         )
@@ -266,14 +266,14 @@
     def _resume(self) -> None:
         """Goes on with what the rows tell of."""
         for worker in self.cluster.workers.values():
-            self._add_link(worker)
+            self._add_session(worker)
             for task in worker.tasks.values():
                 if task.phase is TaskPhase.STOPPING:
-                    self._orders.stop(task)
+                    self._commands.stop(task)
 
     def _cancel(self, job_id: str) -> None:
         for task in self.cluster.cancel(job_id, self._clock.monotonic()):
-            self._orders.stop(task)
+            self._commands.stop(task)
         self._commits.note_change()
 
     def _forget(self, jobs: list[Job]) -> None:
@@ -300,11 +300,11 @@
             0,
             entry.started_ms,
         ):
-            link = self.links.get(entry.id)
-            if link is not None:
-                link.note_registration(entry.started_ms)
-        if entry.id not in self.links:
-            self._add_link(worker)
+            session = self.sessions.get(entry.id)
+            if session is not None:
+                session.handle_registration(entry.started_ms)
+        if entry.id not in self.sessions:
+            self._add_session(worker)
         # What only rows spoke of has no time of birth yet, nor a true state.
         if not before or not before.started_ms or before.state != entry.state:
             log.info(
@@ -324,8 +324,8 @@
                 'Worker is no longer registered.', extra={'worker': worker_id}
             )
 
-    def _add_link(self, worker: Worker) -> None:
-        link = Link(
+    def _add_session(self, worker: Worker) -> None:
+        session = WorkerSession(
             worker,
             self.cluster,
             self._calls,
@@ -333,20 +333,20 @@
             self._settings.lease_seconds,
             self._clock.monotonic,
         )
-        self.links[worker.id] = link
-        self._spawn(self._keep_link(link))
-
-    async def _keep_link(self, link: Link) -> None:
-        await link.run()
-        worker = link.worker
-        if self.links.get(worker.id) is link:
-            del self.links[worker.id]
+        self.sessions[worker.id] = session
+        self._spawn(self._run_session(session))
+
+    async def _run_session(self, session: WorkerSession) -> None:
+        await session.run()
+        worker = session.worker
+        if self.sessions.get(worker.id) is session:
+            del self.sessions[worker.id]
             self.cluster.workers.pop(worker.id, None)
 
     # What links tell.
 
-    def lose(self, reason: str) -> None:
-        """See `Events`."""
+    def handle_lease_lost(self, reason: str) -> None:
+        """See `SessionListener`."""
         if not self._lost:
             self._lost = reason
             self._metrics.count_loss(self._settings.service)
@@ -359,12 +359,14 @@
         self._ended.set()
 
     def may_renew(self) -> bool:
-        """See `Events`."""
+        """See `SessionListener`."""
         age = self._clock.monotonic() - self._lease.renewed_at
         return age < PROMISE_SECONDS or self._is_outage()
 
-    def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
-        """See `Events`."""
+    def handle_tasks_ended(
+        self, worker: Worker, tasks: list[Task], why: str
+    ) -> None:
+        """See `SessionListener`."""
         log.warning(
             'Its {} tasks ended: {}.',
             len(tasks),
@@ -376,9 +378,13 @@
         self._wake.set()
         self._commits.note_change()
 
-    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
-        """See `Events`."""
-        self._steering.take_news(worker, result, self._clock.monotonic())
+    def handle_poll_result(
+        self, worker: Worker, result: ReconcileResult
+    ) -> None:
+        """See `SessionListener`."""
+        self._steering.handle_poll_result(
+            worker, result, self._clock.monotonic()
+        )
         if worker.is_reported_unreachable:
             self._commits.note_change()
         if result.ended or result.adopted or result.expired:
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/steering.py
@@ -6,7 +6,7 @@
 import logbook
 
 from lentilmount.control.metrics import ControlMetrics
-from lentilmount.control.orders import Orders
+from lentilmount.control.worker_commands import CommandSender
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import WorkerHealth, list_hanging
 from lentilmount.scheduling.interference import InterferenceModel
@@ -36,18 +36,18 @@
       cluster: Where the tasks are.
       interference_model: Who disturbs whom.
       health: Evidence against workers.
-      orders: Carries out what is decided.
+      commands: Carries out what is decided.
       metrics: Counts ends and changes of pace.
     """
 
     cluster: ClusterState
     interference_model: InterferenceModel
     health: WorkerHealth
-    orders: Orders
+    commands: CommandSender
     metrics: ControlMetrics
     _halted: dict[Task, float] = attrs.Factory(dict)
 
-    def take_news(
+    def handle_poll_result(
         self, worker: Worker, result: ReconcileResult, now: float
     ) -> None:
         """Acts on a look at a worker."""
@@ -56,7 +56,7 @@
             self._note_end(worker, task, kind, now)
         self._note_expired(worker, result.expired, now)
         for stale_run in result.stale_runs:
-            self.orders.stop_stale_run(stale_run)
+            self.commands.stop_stale_run(stale_run)
         for task in result.adopted:
             self._resume(task)
         if result.unknown_tasks:
@@ -106,9 +106,9 @@
 
     def _resume(self, task: Task) -> None:
         if task.phase is TaskPhase.STOPPING:
-            self.orders.stop(task)
+            self.commands.stop(task)
         elif task.spec.fills:
-            self.orders.pace(task, INHERITED_PERCENT)
+            self.commands.throttle(task, INHERITED_PERCENT)
 
     def forget(self, task: Task) -> None:
         """Drops what is remembered of a task that has ended."""
@@ -136,7 +136,7 @@
                 self._halted.setdefault(task, now)
             else:
                 self._halted.pop(task, None)
-            self.orders.pace(task, percent)
+            self.commands.throttle(task, percent)
 
     def stop(self, task: Task, reason: str) -> None:
         """Stops a task; it will be placed again if its job goes on."""
@@ -153,7 +153,7 @@
             },
         )
         self.cluster.begin_stop(task)
-        self.orders.stop(task)
+        self.commands.stop(task)
 
     def drain(self, worker: Worker) -> None:
         """Moves what can be moved off a worker that is leaving."""
--- a/lentilmount/control/orders.py
+++ b/lentilmount/control/worker_commands.py
@@ -9,7 +9,11 @@
 import attrs
 import logbook
 
-from lentilmount.control.links import FORGET_SECONDS, Events, Link
+from lentilmount.control.worker_session import (
+    FORGET_SECONDS,
+    SessionListener,
+    WorkerSession,
+)
 from lentilmount.platform.workers import (
     OrderAnswer,
     StartOrder,
@@ -30,13 +34,13 @@
 
 
 @attrs.define(eq=False)
-class Orders:
+class CommandSender:
     """Carries out what was decided, until each order's outcome is known.
 
     Attributes:
       cluster: Where the tasks are.
       calls: How workers are called.
-      links: The links, by worker.
+      sessions: The links, by worker.
       events: Who is told.
       monotonic: The clock for durations.
       start_task: Runs a coroutine in the background.
@@ -46,8 +50,8 @@
 
     cluster: ClusterState
     calls: WorkerCalls
-    links: dict[str, Link]
-    events: Events
+    sessions: dict[str, WorkerSession]
+    events: SessionListener
     monotonic: Callable[[], float]
     start_task: Callable[[Coroutine[Any, Any, None]], None]
     get_ticket: Callable[[Task, Worker], str]
@@ -61,7 +65,7 @@
         """Stops a task that was marked."""
         self.start_task(self._stop(task, task.run))
 
-    def pace(self, task: Task, percent: int) -> None:
+    def throttle(self, task: Task, percent: int) -> None:
         """Lets a task work for a share of the time only."""
         task.previous_cpu_percent = task.cpu_percent
         task.cpu_percent = percent
@@ -76,16 +80,16 @@
         self.start_task(self._stop_stale_run(stale_run))
 
     async def _start(self, task: Task, run: int) -> None:
-        link = self.links.get(task.worker)
+        session = self.sessions.get(task.worker)
         is_due = task.phase is TaskPhase.STARTING and task.run == run
-        if link is None or not is_due:
+        if session is None or not is_due:
             return
-        order = self._make_start(link, task, run)
+        order = self._make_start(session, task, run)
         is_first = True
         pause = RETRY_SECONDS
         while task.phase is TaskPhase.STARTING and task.run == run:
-            answer = await self.calls.start(link.worker.entry, order)
-            self._note_answer(link, answer)
+            answer = await self.calls.start(session.worker.entry, order)
+            self._note_answer(session, answer)
             if task.run != run or task.phase is not TaskPhase.STARTING:
                 break
             verdict = answer.verdict
@@ -93,30 +97,34 @@
                 self.cluster.confirm_start(task, run, self.monotonic())
                 return
             if verdict is Verdict.FENCED:
-                self.events.lose(f'{task.worker} knows a higher token')
+                self.events.handle_lease_lost(
+                    f'{task.worker} knows a higher token'
+                )
                 return
             if verdict is not Verdict.UNKNOWN:
                 self._take_rejection(task, run, verdict, not is_first)
                 return
             is_first = False
             pause = await _back_off(pause)
-        await self._probe(link, order.task, run)
+        await self._probe(session, order.task, run)
 
-    def _make_start(self, link: Link, task: Task, run: int) -> StartOrder:
+    def _make_start(
+        self, session: WorkerSession, task: Task, run: int
+    ) -> StartOrder:
         """Makes a start, of which each copy carries the same deadline."""
-        task.start_deadline_ms = link.choose_start_deadline()
+        task.start_deadline_ms = session.choose_start_deadline()
         return StartOrder(
             task=str(task.id),
             run=run,
             payload=task.job.spec.payload,
             lease_until_ms=task.start_deadline_ms,
             checkpoint=task.checkpoint,
-            ticket=self.get_ticket(task, link.worker),
+            ticket=self.get_ticket(task, session.worker),
         )
 
-    def _note_answer(self, link: Link, answer: OrderAnswer) -> None:
-        link.note_order(answer.verdict)
-        link.note_clock(answer.clock_ms)
+    def _note_answer(self, session: WorkerSession, answer: OrderAnswer) -> None:
+        session.record_command(answer.verdict)
+        session.update_clock(answer.clock_ms)
 
     def _take_rejection(
         self, task: Task, run: int, verdict: Verdict, uncertain: bool
@@ -139,74 +147,80 @@
         self.wake()
 
     async def _stop(self, task: Task, run: int) -> None:
-        link = self.links.get(task.worker)
-        if link is None:
+        session = self.sessions.get(task.worker)
+        if session is None:
             return
         pause = RETRY_SECONDS
         name = str(task.id)
         while task.phase is TaskPhase.STOPPING and task.run == run:
             sent_at = self.monotonic()
-            verdict = await self._send_stop(link, name, run)
+            verdict = await self._send_stop(session, name, run)
             if verdict is Verdict.FENCED:
                 return
-            link.note_stop(_is_taken(verdict), sent_at)
+            session.record_stop(_is_taken(verdict), sent_at)
             if _is_taken(verdict):
                 if task.run == run:
                     task.stopped_at = min(task.stopped_at, self.monotonic())
                 return
             pause = await _back_off(pause)
-        await self._probe(link, name, run)
+        await self._probe(session, name, run)
 
-    async def _send_stop(self, link: Link, name: str, run: int) -> Verdict:
+    async def _send_stop(
+        self, session: WorkerSession, name: str, run: int
+    ) -> Verdict:
         """Sends a stop once; returns what became of it."""
-        answer = await self.calls.stop(link.worker.entry, name, run)
-        self._note_answer(link, answer)
+        answer = await self.calls.stop(session.worker.entry, name, run)
+        self._note_answer(session, answer)
         if answer.verdict is Verdict.FENCED:
-            self.events.lose(f'{link.worker.id} knows a higher token')
+            self.events.handle_lease_lost(
+                f'{session.worker.id} knows a higher token'
+            )
         return answer.verdict
 
-    async def _probe(self, link: Link, name: str, run: int) -> None:
+    async def _probe(self, session: WorkerSession, name: str, run: int) -> None:
         """Asks a worker that answers no orders until it answers one.
 
         The run may be at work there, as its start can have been heard all the
         same. A stop of the one before does no harm, whenever it is carried
         out. One worker gets one at a time.
         """
-        if link.is_probed:
+        if session.is_probed:
             return
-        link.is_probed = True
+        session.is_probed = True
         pause = RETRY_SECONDS
         try:
-            while self._ignores_commands(link):
+            while self._ignores_commands(session):
                 pause = await _back_off(pause)
-                await self._send_stop(link, name, run - 1)
+                await self._send_stop(session, name, run - 1)
         finally:
-            link.is_probed = False
+            session.is_probed = False
 
-    def _ignores_commands(self, link: Link) -> bool:
-        worker = link.worker
-        is_known = self.links.get(worker.id) is link and worker.reachable
+    def _ignores_commands(self, session: WorkerSession) -> bool:
+        worker = session.worker
+        is_known = self.sessions.get(worker.id) is session and worker.reachable
         return is_known and not worker.answers_commands
 
     async def _stop_stale_run(self, stale_run: StaleRun) -> None:
-        link = self.links.get(stale_run.worker)
-        if link is not None:
+        session = self.sessions.get(stale_run.worker)
+        if session is not None:
             sent_at = self.monotonic()
-            verdict = await self._send_stop(link, stale_run.task, stale_run.run)
-            link.note_stop(_is_taken(verdict), sent_at)
+            verdict = await self._send_stop(
+                session, stale_run.task, stale_run.run
+            )
+            session.record_stop(_is_taken(verdict), sent_at)
 
     async def _pace(self, task: Task, run: int, percent: int) -> None:
-        link = self.links.get(task.worker)
-        if link is None:
+        session = self.sessions.get(task.worker)
+        if session is None:
             return
         pause = RETRY_SECONDS
         while task.run == run and task.cpu_percent == percent:
             if not task.phase.is_placed:
                 return
             answer = await self.calls.pace(
-                link.worker.entry, str(task.id), run, percent
+                session.worker.entry, str(task.id), run, percent
             )
-            self._note_answer(link, answer)
+            self._note_answer(session, answer)
             if answer.verdict is not Verdict.UNKNOWN:
                 return
             pause = await _back_off(pause)
--- a/lentilmount/control/links.py
+++ b/lentilmount/control/worker_session.py
@@ -51,16 +51,20 @@
 """A worker that is gone and runs nothing more is forgotten after this."""
 
 
-class Events(Protocol):
+class SessionListener(Protocol):
     """What a link tells its owner."""
 
-    def lose(self, reason: str) -> None:
+    def handle_lease_lost(self, reason: str) -> None:
         """Another owner has a higher token."""
 
-    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
+    def handle_poll_result(
+        self, worker: Worker, result: ReconcileResult
+    ) -> None:
         """A look changed something."""
 
-    def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
+    def handle_tasks_ended(
+        self, worker: Worker, tasks: list[Task], why: str
+    ) -> None:
         """Everything on a worker has ended."""
 
     def may_renew(self) -> bool:
@@ -68,7 +72,7 @@
 
 
 @attrs.define(eq=False)
-class Link:
+class WorkerSession:
     """One worker's leases and lists.
 
     Attributes:
@@ -78,23 +82,24 @@
       events: Who is told.
       lease_seconds: Longest lease.
       monotonic: The clock for durations.
-      received: Number of the last end taken into the book.
-      written: Number of the last end whose effects are written.
-      life: Raised with each restart of the worker, which numbers ends anew.
+      received_end: Number of the last end taken into the book.
+      written_end: Number of the last end whose effects are written.
+      incarnation: Raised with each restart of the worker, which numbers ends
+        anew.
       is_probed: Whether the worker is being asked to answer an order again.
     """
 
     worker: Worker
     cluster: ClusterState
     calls: WorkerCalls
-    events: Events
+    events: SessionListener
     lease_seconds: float
     monotonic: Callable[[], float]
-    received: int = 0
-    written: int = 0
-    life: int = 0
+    received_end: int = 0
+    written_end: int = 0
+    incarnation: int = 0
     is_probed: bool = False
-    wrote: asyncio.Event = attrs.field(factory=asyncio.Event)
+    end_written: asyncio.Event = attrs.field(factory=asyncio.Event)
     _started_ms: int | None = None
     _clock_ms: int | None = None
     _clock_at: float = 0.0
@@ -125,22 +130,22 @@
     def _check_lapse(self, why: str) -> None:
         now = self.monotonic()
         if self.worker.tasks and now > self.worker.leases_expire_at:
-            self.events.take_lapse(
+            self.events.handle_tasks_ended(
                 self.worker,
                 self.cluster.end_worker_tasks(self.worker, now),
                 why,
             )
 
     async def _look(self) -> None:
-        if self.received > self.written:
+        if self.received_end > self.written_end:
             # The worker would answer at once with the same ends.
-            self.wrote.clear()
-            await wait_briefly(self.wrote, self._choose_pause())
-        waits = self.received <= self.written and self.worker.reachable
+            self.end_written.clear()
+            await wait_briefly(self.end_written, self._choose_pause())
+        waits = self.received_end <= self.written_end and self.worker.reachable
         asked_at = self.monotonic()
         answer = await self.calls.look(
             self.worker.entry,
-            self.written,
+            self.written_end,
             self._choose_renewal(),
             self._choose_wait() if waits else 0.0,
         )
@@ -226,7 +231,7 @@
         # The previous owner's leases may be longer than a start's.
         self.worker.leases_expire_at = max(end, self._inherited_end)
 
-    def note_clock(self, clock_ms: int | None) -> None:
+    def update_clock(self, clock_ms: int | None) -> None:
         """Takes in a worker's clock from any answer."""
         if clock_ms is None or clock_ms < (self._clock_ms or 0):
             return
@@ -243,7 +248,7 @@
             if is_pending and 0 < task.start_deadline_ms < clock_ms:
                 task.start_expired_at = min(task.start_expired_at, now)
 
-    def note_order(self, verdict: Verdict) -> None:
+    def record_command(self, verdict: Verdict) -> None:
         """Takes in whether the worker has answered an order."""
         worker = self.worker
         if verdict is Verdict.REFUSED:
@@ -261,7 +266,7 @@
         worker.answers_commands = worker.renews_leases = True
         worker.stop_unanswered_since = math.inf
 
-    def note_stop(self, is_taken: bool, sent_at: float) -> None:
+    def record_stop(self, is_taken: bool, sent_at: float) -> None:
         """Takes in whether the worker has taken a stop."""
         worker = self.worker
         if is_taken:
@@ -285,16 +290,16 @@
             self._trust_orders()
         worker.has_answered = worker.reachable = True
         worker.has_missed_poll = False
-        self.note_clock(report.clock_ms)
-        fresh = tuple(e for e in report.ended if e.number > self.received)
+        self.update_clock(report.clock_ms)
+        fresh = tuple(e for e in report.ended if e.number > self.received_end)
         result = Reconciler(self.cluster).reconcile(
             worker,
             attrs.evolve(report, ended=fresh),
             asked_at,
             self.monotonic(),
         )
-        self.received = max(self.received, result.last_end_number)
-        self.events.take_news(worker, result)
+        self.received_end = max(self.received_end, result.last_end_number)
+        self.events.handle_poll_result(worker, result)
 
     def _bound_inherited(self) -> None:
         """Notes when unknown leases end: none is given there by others now."""
@@ -304,7 +309,7 @@
         self._inherited_end = self.monotonic() + longest
         self.worker.leases_expire_at = self._inherited_end
 
-    def note_registration(self, started_ms: int) -> None:
+    def handle_registration(self, started_ms: int) -> None:
         """Takes in that the worker registered a new life.
 
         Its lists often tell of that life before. What was placed there since
@@ -313,20 +318,20 @@
         if self._started_ms is None or self._started_ms < started_ms:
             self.restart('it registered anew')
 
-    def acknowledge(self, life: int, number: int) -> None:
+    def acknowledge(self, incarnation: int, number: int) -> None:
         """Lets the worker forget its ends up to a number, of one of its lives.
 
         Numbers begin anew with each life: of an earlier one, they would have
         it forget ends that nobody has heard of, and what is done run again.
         """
-        if life == self.life:
-            self.written = max(self.written, number)
-        self.wrote.set()
+        if incarnation == self.incarnation:
+            self.written_end = max(self.written_end, number)
+        self.end_written.set()
 
     def restart(self, why: str) -> None:
         """Forgets an incarnation: nothing of it runs any more."""
-        self.received = self.written = 0
-        self.life += 1
+        self.received_end = self.written_end = 0
+        self.incarnation += 1
         self._started_ms = None
         self._clock_ms = None
         self._last_until_ms = 0
@@ -335,11 +340,13 @@
         self._trust_orders()
         tasks = self.cluster.end_worker_tasks(worker, self.monotonic())
         if tasks:
-            self.events.take_lapse(worker, tasks, why)
+            self.events.handle_tasks_ended(worker, tasks, why)
 
     async def _take_failure(self, verdict: Verdict) -> None:
         if verdict is Verdict.FENCED:
-            self.events.lose(f'{self.worker.id} knows a higher token')
+            self.events.handle_lease_lost(
+                f'{self.worker.id} knows a higher token'
+            )
         if self.worker.reachable:
             log.warning(
                 'Cannot be reached: {}.',
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -13,8 +13,8 @@
 from lentilmount.control import commits as commits_module
 from lentilmount.control.commits import COMMIT_ROWS, Commits
 from lentilmount.control.leasedata import has_unrecorded_starts
-from lentilmount.control.links import Link
 from lentilmount.control.retention import Retention
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import Lease, LeaseKeeper
 from lentilmount.coordination.table import Key, Operation, Put
 from lentilmount.platform.store import PlatformTable
@@ -32,7 +32,7 @@
     make_step,
 )
 from tests.helpers import run
-from tests.test_control_links import NoEvents
+from tests.test_worker_session import IgnoringListener
 
 WRITES = 6
 """Three hold every job once; as many again for those that changed meanwhile."""
@@ -66,7 +66,7 @@
     keeper: LeaseKeeper,
     lease: Lease,
     cluster: ClusterState,
-    links: dict[str, Link],
+    sessions: dict[str, WorkerSession],
     send: Callable[[Task], None],
 ) -> Commits:
     return Commits(
@@ -76,7 +76,7 @@
         lease,
         cluster,
         InterferenceModel(),
-        links,
+        sessions,
         ManualClock(),
         send,
         print,
@@ -183,17 +183,19 @@
             admit(cluster, make_job(f'job-{number}'))
             cluster.dirty[f'job-{number}'] = None
         calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-        link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
-        link.received = 7
-        links = {'w': link}
-        commits = _make_commits(table, keeper, lease, cluster, links, print)
+        session = WorkerSession(
+            worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
+        )
+        session.received_end = 7
+        sessions = {'w': session}
+        commits = _make_commits(table, keeper, lease, cluster, sessions, print)
         commits.note_change()
         running = asyncio.create_task(commits.run())
-        while busy.version < WRITES and not link.written:
+        while busy.version < WRITES and not session.written_end:
             commits.note_change()
             await asyncio.sleep(0)
         running.cancel()
-        assert link.written == 7
+        assert session.written_end == 7
         assert busy.version >= 3
 
     run(play())
@@ -212,25 +214,27 @@
         cluster = ClusterState()
         worker = add_worker(cluster, 'w')
         calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-        link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
-        link.received = 7
+        session = WorkerSession(
+            worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
+        )
+        session.received_end = 7
         commits = _make_commits(
-            table, keeper, lease, cluster, {'w': link}, print
+            table, keeper, lease, cluster, {'w': session}, print
         )
         slow.gate.clear()
         slow.begun.clear()
         commits.note_change()
         running = asyncio.create_task(commits.run())
         await slow.begun.wait()
-        link.restart('it restarted')
-        link.wrote.clear()
+        session.restart('it restarted')
+        session.end_written.clear()
         slow.gate.set()
         version = slow.version
         while slow.version < version + 2:
             commits.note_change()
             await asyncio.sleep(0.001)
         running.cancel()
-        return link.written
+        return session.written_end
 
     assert run(play()) == 0
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.links import Link
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Worker
@@ -27,7 +27,7 @@
 )
 from tests.helpers import run
 from tests.platform_scene import Daemon, Scene, open_scene
-from tests.test_control_links import LEASE_SECONDS, NoEvents
+from tests.test_worker_session import LEASE_SECONDS, IgnoringListener
 
 JOB = '0123456789abcdef'
 TENURE_SECONDS = 3.5
@@ -121,13 +121,18 @@
     clock = ManualClock()
     cluster, worker = make_placed(True, 0.0)
     calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-    link = Link(
-        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    session = WorkerSession(
+        worker,
+        cluster,
+        calls,
+        IgnoringListener(),
+        LEASE_SECONDS,
+        clock.monotonic,
     )
-    link.note_clock(1000)
-    link.choose_lease_end()
+    session.update_clock(1000)
+    session.choose_lease_end()
     clock.advance(2.0)
-    link.choose_lease_end()
+    session.choose_lease_end()
     told = list_lease_seconds(cluster, clock.monotonic())
     assert told['w'] >= LEASE_SECONDS
 
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -21,7 +21,7 @@
     decode,
     describe,
 )
-from lentilmount.control.links import Link
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import CLOCK_DRIFT
 from lentilmount.platform.workers import Verdict, WorkerCalls
 from lentilmount.scheduling.takeover import (
@@ -41,7 +41,6 @@
     open_gated_table,
     open_scene,
 )
-from tests.test_control_links import NoEvents
 from tests.test_giving_up import HOST, OWNER_ROW
 from tests.test_handovers import (
     DAEMONS,
@@ -50,6 +49,7 @@
     find_owner,
     make_placed,
 )
+from tests.test_worker_session import IgnoringListener
 
 WORKER_LEASE_SECONDS = 6.0
 
@@ -153,27 +153,27 @@
     """The next owner would start tasks that still ran under a renewed lease."""
     clock = ManualClock()
     cluster, worker = make_placed(True, 0.0)
-    link = Link(
+    session = WorkerSession(
         worker,
         cluster,
         _LostCalls(),
-        NoEvents(),
+        IgnoringListener(),
         WORKER_LEASE_SECONDS,
         clock.monotonic,
     )
-    link.note_clock(1000)
-    end = link.choose_lease_end()
+    session.update_clock(1000)
+    end = session.choose_lease_end()
     told = list_lease_seconds(cluster, clock.monotonic())
     worker.is_reported_unreachable = True
     clock.advance(1.0)
-    assert link.choose_lease_end() == end
-    assert link.choose_start_deadline() == end
+    assert session.choose_lease_end() == end
+    assert session.choose_start_deadline() == end
     assert (
         list_lease_seconds(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
     )
     assert not is_open(worker, clock.monotonic())
     worker.is_reported_unreachable = False
-    assert link.choose_lease_end() > end
+    assert session.choose_lease_end() > end
 
 
 def test_what_was_told_counts_from_when_its_row_was_seen() -> None:
--- a/tests/test_link_pauses.py
+++ b/tests/test_poll_intervals.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import links
-from lentilmount.control.links import Link
+from lentilmount.control import worker_session
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
@@ -28,17 +28,21 @@
 
     renews: bool
 
-    def lose(self, reason: str) -> None:
-        """See `Events`."""
+    def handle_lease_lost(self, reason: str) -> None:
+        """See `SessionListener`."""
 
-    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
-        """See `Events`."""
+    def handle_poll_result(
+        self, worker: Worker, result: ReconcileResult
+    ) -> None:
+        """See `SessionListener`."""
 
-    def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
-        """See `Events`."""
+    def handle_tasks_ended(
+        self, worker: Worker, tasks: list[Task], why: str
+    ) -> None:
+        """See `SessionListener`."""
 
     def may_renew(self) -> bool:
-        """See `Events`."""
+        """See `SessionListener`."""
         return self.renews
 
 
@@ -74,14 +78,14 @@
         pauses.append(seconds)
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(links, 'wait_briefly', note)
+    monkeypatch.setattr(worker_session, 'wait_briefly', note)
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     calls = _Calls()
     clock = ManualClock().monotonic
-    link = Link(worker, cluster, calls, _Events(renews), 6.0, clock)
-    link.received = 1
-    running = asyncio.create_task(link.run())
+    session = WorkerSession(worker, cluster, calls, _Events(renews), 6.0, clock)
+    session.received_end = 1
+    running = asyncio.create_task(session.run())
     await calls.enough.wait()
     running.cancel()
     return pauses
--- a/tests/test_refused_stops.py
+++ b/tests/test_refused_stops.py
@@ -9,31 +9,31 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import orders as orders_module
-from lentilmount.control.links import Link
-from lentilmount.control.orders import Orders
+from lentilmount.control import worker_commands as orders_module
+from lentilmount.control.worker_commands import CommandSender
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import WorkerEntry
 from lentilmount.upstream.http import HttpCaller
 from tests.fleet_scene import add_worker, admit, find_task, make_job, run_task
 from tests.helpers import run
-from tests.test_control_links import LEASE_SECONDS, NoEvents
+from tests.test_worker_session import LEASE_SECONDS, IgnoringListener
 
 
-def make_orders(
+def make_command_sender(
     cluster: ClusterState,
     calls: WorkerCalls,
-    link: Link,
+    session: WorkerSession,
     started: list[Coroutine[Any, Any, None]],
-) -> Orders:
+) -> CommandSender:
     """Returns orders to one worker, of which each is kept unsent in a list."""
-    return Orders(
+    return CommandSender(
         cluster,
         calls,
-        {link.worker.id: link},
-        NoEvents(),
-        link.monotonic,
+        {session.worker.id: session},
+        IgnoringListener(),
+        session.monotonic,
         started.append,
         lambda task, worker: '',
         lambda: None,
@@ -67,12 +67,17 @@
     run_task(cluster, task, worker)
     cluster.begin_stop(task)
     calls = _RefusingCalls()
-    link = Link(
-        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    session = WorkerSession(
+        worker,
+        cluster,
+        calls,
+        IgnoringListener(),
+        LEASE_SECONDS,
+        clock.monotonic,
     )
     started: list[Coroutine[Any, Any, None]] = []
-    orders = make_orders(cluster, calls, link, started)
-    orders.stop(task)
+    commands = make_command_sender(cluster, calls, session, started)
+    commands.stop(task)
 
     async def play() -> None:
         await asyncio.wait_for(started[0], 5.0)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -211,7 +211,7 @@
             task.run = 1
             worker = cluster.workers['w'] = make_unregistered_worker('w')
             cluster.restore_placed(task, worker)
-            owner._add_link(worker)
+            owner._add_session(worker)
             owner._meet(make_entry('w', state=WorkerState.DRAINING))
             assert task.phase is TaskPhase.STOPPING
 
--- a/tests/test_unanswered_orders.py
+++ b/tests/test_unanswered_commands.py
@@ -11,8 +11,8 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import orders as orders_module
-from lentilmount.control.links import Link
+from lentilmount.control import worker_commands as orders_module
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import (
@@ -36,8 +36,8 @@
 )
 from tests.helpers import run
 from tests.platform_scene import PREFIX, Daemon, Scene, open_scene
-from tests.test_control_links import NoEvents
-from tests.test_refused_stops import make_orders
+from tests.test_refused_stops import make_command_sender
+from tests.test_worker_session import IgnoringListener
 
 JOBS = [f'{number:016x}' for number in range(1, 9)]
 LASTING = 'f' * 16
@@ -259,9 +259,11 @@
     run_task(cluster, task, worker)
     calls = _LossyCalls()
     clock = ManualClock()
-    link = Link(worker, cluster, calls, NoEvents(), 6.0, clock.monotonic)
+    session = WorkerSession(
+        worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
+    )
     started: list[Coroutine[Any, Any, None]] = []
-    make_orders(cluster, calls, link, started).pace(task, 20)
+    make_command_sender(cluster, calls, session, started).throttle(task, 20)
 
     async def play() -> None:
         await asyncio.wait_for(started[0], 5.0)
@@ -302,12 +304,17 @@
     worker.reachable = False
     now = 1.1 + STOP_TIMEOUT_SECONDS
     assert WorkerHealth().review_leases([worker], now) == ([], [])
-    link = Link(
-        worker, ClusterState(), _LossyCalls(), NoEvents(), 6.0, lambda: now
+    session = WorkerSession(
+        worker,
+        ClusterState(),
+        _LossyCalls(),
+        IgnoringListener(),
+        6.0,
+        lambda: now,
     )
 
     async def play() -> None:
-        keeping = asyncio.create_task(link.run())
+        keeping = asyncio.create_task(session.run())
         while not worker.reachable:
             await asyncio.sleep(0.0)
         keeping.cancel()
--- a/tests/test_control_links.py
+++ b/tests/test_worker_session.py
@@ -10,9 +10,9 @@
 import attrs
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.links import Link
-from lentilmount.control.orders import Orders
 from lentilmount.control.owner import PROMISE_SECONDS
+from lentilmount.control.worker_commands import CommandSender
+from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import (
     OrderAnswer,
     StartOrder,
@@ -41,20 +41,24 @@
 CLOCK_MS = 1000
 
 
-class NoEvents:
+class IgnoringListener:
     """Takes what a link tells, and forgets it."""
 
-    def lose(self, reason: str) -> None:
-        """See `Events`."""
+    def handle_lease_lost(self, reason: str) -> None:
+        """See `SessionListener`."""
 
-    def take_news(self, worker: Worker, result: ReconcileResult) -> None:
-        """See `Events`."""
+    def handle_poll_result(
+        self, worker: Worker, result: ReconcileResult
+    ) -> None:
+        """See `SessionListener`."""
 
-    def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
-        """See `Events`."""
+    def handle_tasks_ended(
+        self, worker: Worker, tasks: list[Task], why: str
+    ) -> None:
+        """See `SessionListener`."""
 
     def may_renew(self) -> bool:
-        """See `Events`."""
+        """See `SessionListener`."""
         return True
 
 
@@ -64,36 +68,43 @@
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     calls = WorkerCalls(HttpCaller(''), 1, 1.0)
-    link = Link(
-        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    session = WorkerSession(
+        worker,
+        cluster,
+        calls,
+        IgnoringListener(),
+        LEASE_SECONDS,
+        clock.monotonic,
     )
-    link.note_clock(1000)
-    end = link.choose_lease_end()
+    session.update_clock(1000)
+    end = session.choose_lease_end()
     lapses_at = worker.leases_expire_at
     clock.advance(1.0)
-    assert link.choose_lease_end() > end
+    assert session.choose_lease_end() > end
     assert worker.leases_expire_at > lapses_at
-    end, lapses_at = link.choose_lease_end(), worker.leases_expire_at
+    end, lapses_at = session.choose_lease_end(), worker.leases_expire_at
     worker.reachable = False
     clock.advance(5.0)
-    assert link.choose_lease_end() == end
+    assert session.choose_lease_end() == end
     assert worker.leases_expire_at == lapses_at
 
 
 @attrs.define(eq=False)
-class Promise(NoEvents):
+class Promise(IgnoringListener):
     """Lets leases be renewed for the promised time; keeps what lapsed."""
 
     clock: ManualClock
     until: float
     lapsed: list[Task] = attrs.Factory(list)
 
-    def take_lapse(self, worker: Worker, tasks: list[Task], why: str) -> None:
-        """See `Events`."""
+    def handle_tasks_ended(
+        self, worker: Worker, tasks: list[Task], why: str
+    ) -> None:
+        """See `SessionListener`."""
         self.lapsed += tasks
 
     def may_renew(self) -> bool:
-        """See `Events`."""
+        """See `SessionListener`."""
         return self.clock.monotonic() < self.until
 
 
@@ -134,7 +145,7 @@
     clock: ManualClock
     lasting: Task
     starting: Task
-    link: Link
+    session: WorkerSession
     calls: SilentCalls
     events: Promise
 
@@ -154,24 +165,26 @@
     cluster.place([starting], worker, clock.monotonic())
     events = Promise(clock, clock.monotonic() + promise_seconds)
     calls = SilentCalls(clock)
-    link = Link(worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic)
-    link.note_clock(CLOCK_MS)
+    session = WorkerSession(
+        worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+    )
+    session.update_clock(CLOCK_MS)
 
     def start_task(work: Coroutine[Any, Any, None]) -> None:
         group.create_task(work)
 
-    orders = Orders(
+    commands = CommandSender(
         cluster,
         calls,
-        {worker.id: link},
+        {worker.id: session},
         events,
         clock.monotonic,
         start_task,
         lambda task, worker: '',
         lambda: None,
     )
-    orders.start(starting)
-    return Pending(clock, lasting, starting, link, calls, events)
+    commands.start(starting)
+    return Pending(clock, lasting, starting, session, calls, events)
 
 
 def test_what_a_worker_that_is_gone_ran_is_freed_with_a_start_pending() -> None:
@@ -181,7 +194,7 @@
         async with asyncio.TaskGroup() as group:
             pending = open_pending(group, math.inf)
             begun_at = pending.clock.monotonic()
-            keeping = group.create_task(pending.link.run())
+            keeping = group.create_task(pending.session.run())
             while not pending.events.lapsed:
                 await asyncio.sleep(0.01)
                 passed = pending.clock.monotonic() - begun_at
@@ -200,7 +213,7 @@
             pending = open_pending(group, PROMISE_SECONDS)
             while len(pending.calls.ends) < 8:
                 await asyncio.sleep(0.01)
-            pending.link.restart('the end of the test')
+            pending.session.restart('the end of the test')
         last = CLOCK_MS + 1000 * (PROMISE_SECONDS + LEASE_SECONDS)
         assert max(pending.calls.ends) <= last
 
@@ -215,11 +228,16 @@
     worker.leases_expire_at = clock.monotonic() + LEASE_SECONDS
     inherited = worker.leases_expire_at
     calls = SilentCalls(clock)
-    link = Link(
-        worker, cluster, calls, NoEvents(), LEASE_SECONDS, clock.monotonic
+    session = WorkerSession(
+        worker,
+        cluster,
+        calls,
+        IgnoringListener(),
+        LEASE_SECONDS,
+        clock.monotonic,
     )
-    link.note_clock(CLOCK_MS)
-    link.choose_start_deadline()
+    session.update_clock(CLOCK_MS)
+    session.choose_start_deadline()
     assert worker.leases_expire_at >= inherited
 
 
@@ -234,11 +252,11 @@
         calls = SilentCalls(clock)
         calls.looks.append(make_report())
         events = Promise(clock, clock.monotonic())
-        link = Link(
+        session = WorkerSession(
             worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
         )
         begun_at = clock.monotonic()
-        keeping = asyncio.create_task(link.run())
+        keeping = asyncio.create_task(session.run())
         while not worker.has_answered:
             await asyncio.sleep(0.0)
         keeping.cancel()
@@ -265,10 +283,10 @@
         calls = SilentCalls(clock)
         calls.looks.append(make_report((make_running(lasting, 1),)))
         events = Promise(clock, clock.monotonic())
-        link = Link(
+        session = WorkerSession(
             worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
         )
-        keeping = asyncio.create_task(link.run())
+        keeping = asyncio.create_task(session.run())
         while not events.lapsed:
             await asyncio.sleep(0.01)
         keeping.cancel()
