--- a/lentilmount/batch/ledger.py
+++ b/lentilmount/batch/ledger.py
@@ -52,7 +52,7 @@
 from lentilmount.errors import InvalidError
 from lentilmount.events import EventLog
 from lentilmount.resources import FINAL_PHASES
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 __all__ = ['Draft', 'Ledger', 'LedgerOptions', 'OvercommitError']
 
@@ -293,7 +293,7 @@
     async def _gather(self, group: _Group) -> None:
         pause = self._next_write - self._monotonic()
         if pause > 0:
-            await wait_briefly(group.urgent, pause)
+            await wait_with_timeout(group.urgent, pause)
         self._next_write = self._monotonic() + self._options.gather_seconds
 
     async def _commit(self, draft: Draft) -> None:
--- a/lentilmount/batch/links.py
+++ b/lentilmount/batch/links.py
@@ -39,7 +39,7 @@
     WorkerError,
     Workers,
 )
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 STOPPING_SECONDS = 0.2
 """How often a worker is called while it stops something: urgent work waits
@@ -116,7 +116,7 @@
         try:
             while True:
                 await self._synchronize()
-                await wait_briefly(self._wake, self._pause())
+                await wait_with_timeout(self._wake, self._pause())
                 self._wake.clear()
                 self._raise_failure()
         finally:
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -29,7 +29,7 @@
 from lentilmount.slices import find_worker_slice
 from lentilmount.upstream.hosts import Host
 from lentilmount.upstream.workers import Workers
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('slices')
 
@@ -147,7 +147,7 @@
                     )
                     if lease is not None:
                         await self._own(slice_name, lease)
-            await wait_briefly(self._wakes[slice_name], POLL_SECONDS)
+            await wait_with_timeout(self._wakes[slice_name], POLL_SECONDS)
             self._wakes[slice_name].clear()
 
     async def _is_mine(self, slice_name: str) -> bool:
--- a/lentilmount/batch/owner.py
+++ b/lentilmount/batch/owner.py
@@ -37,7 +37,7 @@
 from lentilmount.slices import find_replica_slice, get_zone
 from lentilmount.upstream.hosts import Host
 from lentilmount.upstream.workers import Workers
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('batch')
 
@@ -146,7 +146,7 @@
             await self._refuse_hopeless()
             await self._enforce()
             await self._place()
-            await wait_briefly(self._wake, STEP_SECONDS)
+            await wait_with_timeout(self._wake, STEP_SECONDS)
             self._wake.clear()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
--- a/lentilmount/cli/traces.py
+++ b/lentilmount/cli/traces.py
@@ -12,7 +12,7 @@
 
 from lentilmount.cli.session import Session
 from lentilmount.errors import FieldProblem, InvalidError, NotFoundError
-from lentilmount.platform.bootfile import decode_host_settings
+from lentilmount.platform.host_settings import decode_host_settings
 from lentilmount.status import ExitStatus
 
 SHOWN_FIRST = ('time', 'level', 'part', 'message')
--- a/lentilmount/control/__main__.py
+++ b/lentilmount/control/__main__.py
@@ -13,7 +13,7 @@
 from lentilmount.errors import LentilmountError
 from lentilmount.logflow import FlowHandler
 from lentilmount.logs import capture_libraries
-from lentilmount.platform.bootfile import (
+from lentilmount.platform.host_settings import (
     HostSettings,
     read_host_settings,
     read_path,
--- a/lentilmount/control/candidates.py
+++ b/lentilmount/control/candidates.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.platform.host_settings import Capacity
 
 LINK_PER_CORE = 10.0
 """Mbit/s of link for each core of processor, as an owner uses both: one of 245
@@ -64,7 +64,7 @@
     is_complete: bool = False
     _others: dict[str, Capacity] = attrs.Factory(dict)
 
-    def note(self, others: Mapping[str, Capacity], is_complete: bool) -> None:
+    def update(self, others: Mapping[str, Capacity], is_complete: bool) -> None:
         """Takes in what the other daemons have announced.
 
         Args:
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/commits.py
@@ -34,7 +34,7 @@
 from lentilmount.scheduling.model import Job, Task, TaskPhase
 from lentilmount.scheduling.rows import encode_state
 from lentilmount.scheduling.takeover import UnrecordedStarts
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('commits')
 
@@ -177,7 +177,7 @@
     async def run(self) -> None:
         """Writes for as long as the lease is held, or until `settle`."""
         while not self._is_closing:
-            await wait_briefly(self._dirty, self._get_pause())
+            await wait_with_timeout(self._dirty, self._get_pause())
             self._dirty.clear()
             if self._is_closing:
                 break
@@ -194,7 +194,7 @@
         """
         self._is_closing = True
         self._dirty.set()
-        await wait_briefly(self._settled, SETTLE_SECONDS)
+        await wait_with_timeout(self._settled, SETTLE_SECONDS)
 
     async def renew(self) -> bool:
         """Renews the lease alone; returns whether it is still held."""
--- a/lentilmount/control/follower.py
+++ b/lentilmount/control/configuration_follower.py
@@ -6,9 +6,9 @@
 
 import logbook
 
-from lentilmount.control.fanout import Sources
-from lentilmount.control.feeds import RETRY_SECONDS, Feed
+from lentilmount.control.configuration_relay import ConfigurationSources
 from lentilmount.control.routes import RouteTable
+from lentilmount.control.table_feed import RETRY_SECONDS, TableFeed
 from lentilmount.platform.store import (
     CONFIGURATION_KEY,
     CONFIGURATION_TABLE,
@@ -53,7 +53,9 @@
 
 
 async def follow_configuration(
-    table: PlatformTable, routes: RouteTable, sources: Sources | None = None
+    table: PlatformTable,
+    routes: RouteTable,
+    sources: ConfigurationSources | None = None,
 ) -> None:
     """Keeps a route table up to date for as long as it runs.
 
@@ -62,8 +64,10 @@
       routes: The route table.
       sources: The daemons that pass it on, if there are any.
     """
-    wait = min(FEED_SECONDS, FEED_SHARE * routes.apply_seconds)
-    feed = Feed(table, CONFIGURATION_TABLE, wait, monotonic=routes.monotonic)
+    wait = min(FEED_SECONDS, FEED_SHARE * routes.apply_timeout)
+    feed = TableFeed(
+        table, CONFIGURATION_TABLE, wait, monotonic=routes.monotonic
+    )
     while True:
         if sources is not None and await _follow_source(sources, routes):
             continue
@@ -76,26 +80,28 @@
             await asyncio.sleep(RETRY_SECONDS)
 
 
-async def _follow_source(sources: Sources, routes: RouteTable) -> bool:
+async def _follow_source(
+    sources: ConfigurationSources, routes: RouteTable
+) -> bool:
     """Asks another daemon; returns whether what is known now is fresh."""
-    wait = SOURCE_SHARE * routes.apply_seconds
+    wait = SOURCE_SHARE * routes.apply_timeout
     reading = await sources.read(routes.version, wait)
     if reading is None:
         return False
     row = reading.row
     if row is not None:
-        routes.offer(row, routes.monotonic() - reading.as_of)
+        routes.apply_row(row, routes.monotonic() - reading.as_of)
         if routes.version < row.version:
             return False
     routes.confirm(reading.as_of, reading.position)
-    return routes.age < STALE_SHARE * routes.apply_seconds
+    return routes.age < STALE_SHARE * routes.apply_timeout
 
 
-async def _follow_store(feed: Feed, routes: RouteTable) -> None:
+async def _follow_store(feed: TableFeed, routes: RouteTable) -> None:
     if feed.position is not None:
         # The store keeps its history for seconds only.
         feed.position = max(feed.position, routes.position)
     for row in await feed.read():
         if row.key == CONFIGURATION_KEY:
-            routes.offer(row, routes.monotonic() - feed.as_of)
+            routes.apply_row(row, routes.monotonic() - feed.as_of)
     routes.confirm(feed.as_of, feed.position)
--- a/lentilmount/control/fanout.py
+++ b/lentilmount/control/configuration_relay.py
@@ -19,9 +19,9 @@
 import attrs
 import logbook
 
-from lentilmount.control.peerhandler import PeerHandler
+from lentilmount.control.peer_handler import PeerHandler
 from lentilmount.control.routes import RouteTable
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import (
     CONFIGURATION_KEY,
     READ_SECONDS,
@@ -91,7 +91,7 @@
 
 
 @attrs.frozen
-class Reading:
+class PeerConfiguration:
     """What another daemon told of the configuration.
 
     Attributes:
@@ -106,7 +106,7 @@
 
 
 @attrs.define
-class Sources:
+class ConfigurationSources:
     """The daemons from which this one takes the configuration.
 
     Attributes:
@@ -126,7 +126,7 @@
     _failed_at: dict[str, float] = attrs.Factory(dict)
     _followed: str = ''
 
-    def note(self, announcements: Iterable[Mapping[str, Any]]) -> None:
+    def update(self, announcements: Iterable[Mapping[str, Any]]) -> None:
         """Takes in what the other daemons have announced.
 
         Hosts of a zone spread over its larger ones by a hash of both.
@@ -152,7 +152,7 @@
                 return address
         return ''
 
-    async def read(self, after: int, wait: float) -> Reading | None:
+    async def read(self, after: int, wait: float) -> PeerConfiguration | None:
         """Asks for a row newer than a version; None if nobody could tell.
 
         Args:
@@ -170,7 +170,7 @@
 
     async def _ask(
         self, address: str, after: int, wait: float
-    ) -> Reading | None:
+    ) -> PeerConfiguration | None:
         query = {'after': after, 'wait_ms': int(1000 * wait)}
         sent_at = self.monotonic()
         answer = await self.caller.call(
@@ -201,7 +201,7 @@
             )
 
 
-def _decode(answer: Answer, sent_at: float) -> Reading:
+def _decode(answer: Answer, sent_at: float) -> PeerConfiguration:
     """Decodes an answer of `ConfigurationHandler`.
 
     Raises:
@@ -216,4 +216,4 @@
         row = RawRow(CONFIGURATION_KEY, value, version)
     # The request came after it was sent, so this is no later than it was.
     as_of = sent_at + int(answer.headers[AS_OF_HEADER]) / 1000
-    return Reading(row, int(answer.headers[POSITION_HEADER]), as_of)
+    return PeerConfiguration(row, int(answer.headers[POSITION_HEADER]), as_of)
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatch.py
@@ -16,7 +16,7 @@
 from lentilmount.scheduling.model import Job, Task, Worker
 from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.takeover import UnrecordedStarts
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('owner')
 
@@ -89,7 +89,7 @@
         """Places for as long as it runs."""
         await self._wait_for_looks()
         while True:
-            await wait_briefly(self.wake, PASS_SECONDS)
+            await wait_with_timeout(self.wake, PASS_SECONDS)
             self.wake.clear()
             if self.may_start:
                 self._place()
--- a/lentilmount/control/intake.py
+++ b/lentilmount/control/intake.py
@@ -9,12 +9,12 @@
 import logbook
 
 from lentilmount.clock import Clock
-from lentilmount.control.feeds import Feed
 from lentilmount.control.keys import (
     CANCEL_SUFFIX,
     JOBS_TABLE,
     STATES_TABLE,
 )
+from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import Key, scan_all
 from lentilmount.platform.documents import restore_job
 from lentilmount.platform.store import (
@@ -51,11 +51,13 @@
     clock: Clock
     cancel: Callable[[str], None]
     wake: Callable[[], None]
-    _feed: Feed = attrs.field(init=False)
+    _feed: TableFeed = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Follows the jobs' table."""
-        self._feed = Feed(self.table, JOBS_TABLE, FEED_SECONDS, self.service)
+        self._feed = TableFeed(
+            self.table, JOBS_TABLE, FEED_SECONDS, self.service
+        )
 
     async def load(self, lapse_seconds: float) -> None:
         """Reads everything the previous owner left.
--- a/lentilmount/control/lifecycle.py
+++ b/lentilmount/control/lifecycle.py
@@ -18,22 +18,25 @@
     make_announcement,
     read_capacities,
 )
-from lentilmount.control.detour import PeerDetour
-from lentilmount.control.fanout import Sources
-from lentilmount.control.follower import follow_configuration, watch_age
+from lentilmount.control.configuration_follower import (
+    follow_configuration,
+    watch_age,
+)
+from lentilmount.control.configuration_relay import ConfigurationSources
 from lentilmount.control.frontend import Traffic, make_frontend, make_readiness
-from lentilmount.control.internal import make_internal
 from lentilmount.control.keys import make_daemon_key, make_owner_key
 from lentilmount.control.metrics import ControlMetrics, make_metrics
 from lentilmount.control.owner import OwnerSettings
+from lentilmount.control.peer_api import make_peer_api
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import (
-    Outage,
-    Peers,
-    StoreWatch,
-    guard,
-    probe_always,
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+    poll_peers_in_outage,
+    probe_store,
 )
+from lentilmount.control.store_relay import PeerRelay
 from lentilmount.control.submissions import Submissions
 from lentilmount.coordination.table import (
     ABSENT,
@@ -44,7 +47,7 @@
 )
 from lentilmount.coordination.transactions import make_token
 from lentilmount.platform.advice import AdviceCalls
-from lentilmount.platform.bootfile import Address, HostSettings
+from lentilmount.platform.host_settings import Address, HostSettings
 from lentilmount.platform.store import (
     CONFIGURATION_TABLE,
     PAGE,
@@ -115,23 +118,23 @@
         )
         self.workers = HttpCaller('', ORDER_SECONDS, WORKER_CALLS)
         self.metrics = ControlMetrics()
-        detour = PeerDetour(
-            self.workers, self.find_outage, self._clock.monotonic
+        relay = PeerRelay(
+            self.workers, self.find_outage_detector, self._clock.monotonic
         )
         self.table = PlatformTable(
-            self.store, STORE_SECONDS, self._observe_store, detour
+            self.store, STORE_SECONDS, self._observe_store, relay
         )
         self._jobs_table = PlatformTable(
             self.store,
             STORE_SECONDS,
             self._observe_store,
-            detour,
+            relay,
             SUBMISSION_SECONDS,
         )
-        self.outages: dict[str, Outage] = {}
-        self._peers = Peers(str(settings.internal))
+        self.outage_detectors: dict[str, OutageDetector] = {}
+        self._peers = PeerList(str(settings.internal))
         self._candidates = Candidates(settings.capacity)
-        self._sources = Sources(
+        self._sources = ConfigurationSources(
             settings.name,
             settings.zone,
             settings.capacity,
@@ -145,27 +148,27 @@
         self.routes = RouteTable(
             self._clock.monotonic,
             settings.times.apply,
-            self.find_outage('').away_until,
+            self.find_outage_detector('').outage_until,
         )
         self.campaigns: dict[str, Campaign] = {}
         self.name = make_name(settings.name)
 
-    def find_outage(self, part: str) -> Outage:
+    def find_outage_detector(self, part: str) -> OutageDetector:
         """Returns what is known of a part of the store: a service's rows.
 
         The part '' stands for what lies in none, such as the configuration.
         """
-        outage = self.outages.get(part)
+        outage = self.outage_detectors.get(part)
         if outage is None:
-            watch = StoreWatch(self._clock.monotonic, part)
-            outage = Outage(watch, self.workers, self._peers)
-            self.outages[part] = outage
+            watch = StoreHealth(self._clock.monotonic, part)
+            outage = OutageDetector(watch, self.workers, self._peers)
+            self.outage_detectors[part] = outage
         return outage
 
     def _observe_store(
         self, part: str, status: int, is_good: bool, took: float
     ) -> None:
-        self.find_outage(part).watch.note(is_good, took)
+        self.find_outage_detector(part).health.record(is_good, took)
         self.metrics.count_store_call(status)
 
     async def _probe(self, part: str) -> None:
@@ -191,7 +194,7 @@
             return False
         if self.routes.is_outdated:
             return False
-        return not any(o.is_cut_off() for o in self.outages.values())
+        return not any(o.is_cut_off() for o in self.outage_detectors.values())
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until told to stop, then hands over and drains."""
@@ -204,9 +207,13 @@
                 group.create_task(watch_age(self.routes)),
                 group.create_task(self._follow_peers()),
                 group.create_task(self.metrics.watch_lag()),
-                group.create_task(guard(self.outages, GUARD_SECONDS)),
                 group.create_task(
-                    probe_always(self.outages, self._probe, GUARD_SECONDS)
+                    poll_peers_in_outage(self.outage_detectors, GUARD_SECONDS)
+                ),
+                group.create_task(
+                    probe_store(
+                        self.outage_detectors, self._probe, GUARD_SECONDS
+                    )
                 ),
             ]
             campaigning = group.create_task(self._campaign(group))
@@ -228,7 +235,7 @@
             self._jobs_table,
             self.routes,
             self._clock,
-            self.find_outage,
+            self.find_outage_detector,
         )
         frontend = make_frontend(
             submissions, self.routes, self.traffic, self.metrics
@@ -240,8 +247,8 @@
             'frontend': _listen(frontend, settings.frontend),
             'readiness': _listen(readiness, settings.readiness),
             'internal': _listen(
-                make_internal(
-                    self.find_outage,
+                make_peer_api(
+                    self.find_outage_detector,
                     self.table,
                     self.routes,
                     lambda: self.traffic.is_closing,
@@ -312,8 +319,8 @@
         if peers != self._peers.known:
             log.info('Knows {} daemons.', len(peers))
         self._peers.known = peers
-        self._candidates.note(read_capacities(others), mine is not None)
-        self._sources.note(others)
+        self._candidates.update(read_capacities(others), mine is not None)
+        self._sources.update(others)
         return mine is not None
 
     async def _campaign(self, group: asyncio.TaskGroup) -> None:
@@ -336,11 +343,11 @@
             self.name,
             self._clock,
             lambda epoch: WorkerCalls(self.workers, epoch, ORDER_SECONDS),
-            self.find_outage(service).is_general,
+            self.find_outage_detector(service).is_general,
             self.advice,
             self.metrics,
             self._candidates,
-            self.find_outage(service).may_own,
+            self.find_outage_detector(service).may_own,
         )
 
 
--- a/lentilmount/control/internal.py
+++ b/lentilmount/control/peer_api.py
@@ -7,18 +7,18 @@
 import orjson
 from tornado.web import Application
 
-from lentilmount.control.detour import (
-    PART_HEADER,
-    RELAY_PREFIX,
-    TIMEOUT_HEADER,
-)
-from lentilmount.control.fanout import (
+from lentilmount.control.configuration_relay import (
     CONFIGURATION_PATH,
     ConfigurationHandler,
 )
-from lentilmount.control.peerhandler import PeerHandler
+from lentilmount.control.peer_handler import PeerHandler
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import FindOutage
+from lentilmount.control.store_health import FindOutageDetector
+from lentilmount.control.store_relay import (
+    PART_HEADER,
+    RELAY_PREFIX,
+    TIMEOUT_HEADER,
+)
 from lentilmount.platform.calls import StoreCall
 from lentilmount.platform.store import READ_SECONDS, PlatformTable
 from lentilmount.upstream.http import CURL_ERROR
@@ -31,7 +31,7 @@
     """Tells other daemons how long the store has not answered here."""
 
     def initialize(
-        self, find: FindOutage, is_closing: Callable[[], bool]
+        self, find: FindOutageDetector, is_closing: Callable[[], bool]
     ) -> None:
         """Takes what it tells of."""
         self.is_closing = is_closing
@@ -77,8 +77,8 @@
         self.finish(answer.body)
 
 
-def make_internal(
-    find: FindOutage,
+def make_peer_api(
+    find: FindOutageDetector,
     table: PlatformTable,
     routes: RouteTable,
     is_closing: Callable[[], bool] = lambda: False,
--- a/lentilmount/control/routes.py
+++ b/lentilmount/control/routes.py
@@ -16,7 +16,7 @@
     decode_configuration,
 )
 from lentilmount.platform.store import RawRow
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('configuration')
 
@@ -65,8 +65,8 @@
 
     Args:
       monotonic: The clock for durations.
-      apply_seconds: In which a change is to be in force.
-      away_until: Tells up to when the store was surely away for all daemons.
+      apply_timeout: In which a change is to be in force.
+      outage_until: Tells up to when the store was surely away for all daemons.
         Until then nobody was served by any routes; if they counted as outdated
         as soon as the store is back, all daemons would refuse what they could
         serve again.
@@ -75,13 +75,13 @@
     def __init__(
         self,
         monotonic: Callable[[], float],
-        apply_seconds: float,
-        away_until: Callable[[], float] = lambda: -math.inf,
+        apply_timeout: float,
+        outage_until: Callable[[], float] = lambda: -math.inf,
     ):
         self.current: RoutingConfiguration | None = None
         self.monotonic = monotonic
-        self.apply_seconds = apply_seconds
-        self._away_until = away_until
+        self.apply_timeout = apply_timeout
+        self._away_until = outage_until
         self._index = _index(())
         self._confirmed_at = -math.inf
         self._accepted = asyncio.Event()
@@ -97,7 +97,7 @@
         jobs on a queue that is gone, and knows nothing of a new one. Callers
         that are told so ask another daemon.
         """
-        return self.age > self.apply_seconds
+        return self.age > self.apply_timeout
 
     @property
     def age(self) -> float:
@@ -124,7 +124,7 @@
         self._confirmed_at = max(self._confirmed_at, as_of)
         self.position = max(self.position, position or 0)
 
-    def offer(self, row: RawRow, age: float = 0.0) -> None:
+    def apply_row(self, row: RawRow, age: float = 0.0) -> None:
         """Takes over a row if it is newer than what is in force.
 
         Answers of different calls overtake each other; without the check an
@@ -161,7 +161,7 @@
     async def wait_for_newer(self, version: int, seconds: float) -> None:
         """Waits until a row newer than a version is in force, or in vain."""
         if self.version <= version:
-            await wait_briefly(self._accepted, seconds)
+            await wait_with_timeout(self._accepted, seconds)
 
     def find(self, host: str, path: str) -> tuple[Route, str] | None:
         """Finds the queue of a request, and the rest of its path."""
--- a/lentilmount/control/storewatch.py
+++ b/lentilmount/control/store_health.py
@@ -45,7 +45,7 @@
 
 
 @attrs.define
-class StoreWatch:
+class StoreHealth:
     """What this daemon's direct calls about one part of the store tell.
 
     A service's rows are in one part, and parts fail one by one: answers about
@@ -63,7 +63,7 @@
     _is_down: bool = False
     _called_at: float = -math.inf
 
-    def note(self, is_good: bool, took: float = 0.0) -> None:
+    def record(self, is_good: bool, took: float = 0.0) -> None:
         """Takes in whether a call was answered.
 
         A call that was sent before the last good answer tells nothing new by
@@ -100,12 +100,12 @@
         return self.monotonic() - self._good_at
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no call was made for a while."""
         return self.monotonic() - self._called_at > QUIET_SECONDS
 
     @property
-    def has_heard(self) -> bool:
+    def has_answered(self) -> bool:
         """Whether there was a good answer ever."""
         return self._good_at > -math.inf
 
@@ -116,7 +116,7 @@
 
 
 @attrs.define
-class Peers:
+class PeerList:
     """The daemons, as far as they are known here.
 
     Attributes:
@@ -133,7 +133,7 @@
 
 
 @attrs.define
-class Outage:
+class OutageDetector:
     """Tells an outage for all daemons from one of this daemon alone.
 
     An owner that alone cannot reach the store will be replaced and must not
@@ -141,24 +141,24 @@
     and work goes on. Only the other daemons can tell which it is.
 
     Attributes:
-      watch: What this daemon knows itself.
+      health: What this daemon knows itself.
       caller: Sends the questions.
       peers: The daemons.
     """
 
-    watch: StoreWatch
+    health: StoreHealth
     caller: HttpCaller
-    peers: Peers
+    peers: PeerList
     _confirmed_at: float = -math.inf
     _asked_at: float = -math.inf
     _ages: dict[str, float] = attrs.Factory(dict)
 
     def is_general(self) -> bool:
         """Whether the store was away for all a moment ago."""
-        passed = self.watch.monotonic() - self._confirmed_at
+        passed = self.health.monotonic() - self._confirmed_at
         return self.is_suspected and passed < OUTAGE_SECONDS
 
-    def away_until(self) -> float:
+    def outage_until(self) -> float:
         """Monotonic time up to which the store was surely away for all.
 
         A daemon whose probe was on its way as the store came back still says
@@ -174,29 +174,29 @@
         outage all stay in: there is nobody better to ask.
         """
         return (
-            self.watch.age > CUT_OFF_SECONDS
+            self.health.age > CUT_OFF_SECONDS
             and not self.is_general()
-            and not self.list_helpers()
+            and not self.list_relays()
         )
 
     @property
     def is_suspected(self) -> bool:
         """Whether the store seems not to answer this daemon."""
-        return self.watch.age > OUTAGE_SECONDS
+        return self.health.age > OUTAGE_SECONDS
 
     @property
-    def is_hopeless(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether a call now would only wait in vain."""
-        return self.watch.is_down and not self.list_helpers()
+        return self.health.is_down and not self.list_relays()
 
-    def list_helpers(self) -> list[str]:
+    def list_relays(self) -> list[str]:
         """Lists the daemons that may reach the store while this one cannot.
 
         Just after the first failure nobody has been asked, and any may do.
         """
         if self.is_general():
             return []
-        passed = self.watch.monotonic() - self._asked_at
+        passed = self.health.monotonic() - self._asked_at
         helpers = self.peers.list_others()
         if passed < ANSWERS_SECONDS:
             helpers = [
@@ -205,10 +205,10 @@
         random.shuffle(helpers)
         return helpers
 
-    async def ask(self) -> None:
+    async def poll_peers(self) -> None:
         """Asks the other daemons."""
         others = self.peers.list_others()
-        asked_at = self.watch.monotonic()
+        asked_at = self.health.monotonic()
         answers = await asyncio.gather(*map(self._ask_peer, others))
         self._asked_at = asked_at
         self._ages = {
@@ -222,9 +222,9 @@
             self._confirmed_at = asked_at
 
     def make_report(self) -> dict[str, Any]:
-        """Returns what other daemons are told; see `may_own` and `ask`."""
-        age = min(self.watch.age, OLDEST_AGE)
-        return {'age': age, 'may_own': self.watch.has_heard}
+        """Returns the report for other daemons (`may_own`, `poll_peers`)."""
+        age = min(self.health.age, OLDEST_AGE)
+        return {'age': age, 'may_own': self.health.has_answered}
 
     async def may_own(self, address: str) -> bool:
         """Asks another daemon whether it can own what is in this part.
@@ -241,7 +241,7 @@
         return report.get('age')
 
     async def _call_peer(self, address: str, timeout: float) -> dict[str, Any]:
-        query = urllib.parse.urlencode({'part': self.watch.part})
+        query = urllib.parse.urlencode({'part': self.health.part})
         answer = await self.caller.call(
             'GET',
             f'/store?{query}',
@@ -258,40 +258,42 @@
             return {}
 
 
-FindOutage = Callable[[str], Outage]
+FindOutageDetector = Callable[[str], OutageDetector]
 """Finds what is known of a part of the store."""
 
 Probe = Callable[[str], Awaitable[None]]
 
 
-async def guard(outages: Mapping[str, Outage], pause: float) -> None:
+async def poll_peers_in_outage(
+    outage_detectors: Mapping[str, OutageDetector], pause: float
+) -> None:
     """Asks the other daemons for as long as the store does not answer."""
     while True:
-        suspected = [o for o in outages.values() if o.is_suspected]
-        await asyncio.gather(*(outage.ask() for outage in suspected))
+        suspected = [o for o in outage_detectors.values() if o.is_suspected]
+        await asyncio.gather(*(outage.poll_peers() for outage in suspected))
         await asyncio.sleep(pause)
 
 
-async def probe_always(
-    outages: Mapping[str, Outage], probe: Probe, pause: float
+async def probe_store(
+    outage_detectors: Mapping[str, OutageDetector], probe: Probe, pause: float
 ) -> None:
     """Makes direct calls while the store does not answer, or nobody calls it.
 
     While it does not answer all other calls go through other daemons, and
-    would not notice that the store answers here again. Apart from `guard`: a
-    call to a silent store takes long enough to let the other daemons' answers
-    grow old.
+    would not notice that the store answers here again. Apart from
+    `poll_peers_in_outage`: a call to a silent store takes long enough to let
+    the other daemons' answers grow old.
 
     Args:
-      outages: What is known, by part of the store.
+      outage_detectors: What is known, by part of the store.
       probe: Makes a direct call about a part.
       pause: Seconds between two rounds.
     """
     while True:
         due = [
             part
-            for part, outage in outages.items()
-            if outage.is_suspected or outage.watch.is_quiet
+            for part, outage in outage_detectors.items()
+            if outage.is_suspected or outage.health.is_idle
         ]
         await asyncio.gather(*map(probe, due))
         await asyncio.sleep(pause)
--- a/lentilmount/control/detour.py
+++ b/lentilmount/control/store_relay.py
@@ -14,7 +14,7 @@
 import attrs
 import logbook
 
-from lentilmount.control.storewatch import FindOutage
+from lentilmount.control.store_health import FindOutageDetector
 from lentilmount.platform.calls import ANSWERED, REFUSED, StoreCall
 from lentilmount.upstream.http import CURL_ERROR, Answer, HttpCaller
 
@@ -38,28 +38,28 @@
 
 
 @attrs.define
-class PeerDetour:
+class PeerRelay:
     """The way to the store through the other daemons.
 
     Attributes:
       caller: Sends calls to them.
-      find_outage: Tells which of them may reach the store.
+      find_outage_detector: Tells which of them may reach the store.
       monotonic: The clock for durations.
     """
 
     caller: HttpCaller
-    find_outage: FindOutage
+    find_outage_detector: FindOutageDetector
     monotonic: Callable[[], float]
     _used_at: dict[str, float] = attrs.Factory(dict)
 
     def is_preferred(self, part: str) -> bool:
-        """See `Detour`."""
-        outage = self.find_outage(part)
-        return outage.is_suspected and bool(outage.list_helpers())
+        """See `StoreRelay`."""
+        outage = self.find_outage_detector(part)
+        return outage.is_suspected and bool(outage.list_relays())
 
     async def send(self, call: StoreCall) -> Answer | None:
-        """See `Detour`."""
-        helpers = self.find_outage(call.part).list_helpers()
+        """See `StoreRelay`."""
+        helpers = self.find_outage_detector(call.part).list_relays()
         if not helpers:
             return None
         helper = helpers[0]
@@ -83,7 +83,7 @@
         return Answer(CURL_ERROR, answer.body, {})
 
     def _note(self, part: str, helper: str, status: int) -> None:
-        """Logs when the detour begins; `StoreWatch` tells when it ends."""
+        """Logs when the detour begins; `StoreHealth` tells when it ends."""
         now = self.monotonic()
         if now - self._used_at.get(part, -math.inf) > QUIET_SECONDS:
             log.warning(
--- a/lentilmount/control/submissions.py
+++ b/lentilmount/control/submissions.py
@@ -17,7 +17,7 @@
     make_state_key,
 )
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import FindOutage
+from lentilmount.control.store_health import FindOutageDetector
 from lentilmount.coordination.table import (
     ABSENT,
     ConflictError,
@@ -62,18 +62,18 @@
       table: Where the rows are.
       routes: The configuration in force.
       clock: The clocks.
-      find_outage: Tells whether the table answers for a service.
+      find_outage_detector: Tells whether the table answers for a service.
     """
 
     table: Table
     routes: RouteTable
     clock: Clock
-    find_outage: FindOutage
+    find_outage_detector: FindOutageDetector
     _counts: dict[str, tuple[float, dict[str, int]]] = attrs.Factory(dict)
 
     def is_cut_off(self, route: Route) -> bool:
         """Whether other daemons reach the table, and this one cannot."""
-        return self.find_outage(route.policy.service).is_cut_off()
+        return self.find_outage_detector(route.policy.service).is_cut_off()
 
     @contextlib.contextmanager
     def _reach_store(self, route: Route) -> Iterator[None]:
@@ -85,7 +85,7 @@
           StoreError: Nothing was done.
           UnknownOutcomeError: It may have been done.
         """
-        if self.find_outage(route.policy.service).is_hopeless:
+        if self.find_outage_detector(route.policy.service).is_unreachable:
             raise StoreError(
                 'the table does not answer', retry_after=RETRY_SECONDS
             )
--- a/lentilmount/control/feeds.py
+++ b/lentilmount/control/table_feed.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class Feed:
+class TableFeed:
     """The rows of a table, and what changes in them.
 
     Where the history is gone everything is read again. After a failed call the
--- a/lentilmount/control/worker_session.py
+++ b/lentilmount/control/worker_session.py
@@ -15,7 +15,7 @@
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciliation import Reconciler, ReconcileResult
 from lentilmount.scheduling.reports import WorkerReport
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('links')
 
@@ -140,7 +140,7 @@
         if self.received_end > self.written_end:
             # The worker would answer at once with the same ends.
             self.end_written.clear()
-            await wait_briefly(self.end_written, self._choose_pause())
+            await wait_with_timeout(self.end_written, self._choose_pause())
         waits = self.received_end <= self.written_end and self.worker.reachable
         asked_at = self.monotonic()
         answer = await self.calls.look(
--- a/lentilmount/daemon/follower.py
+++ b/lentilmount/daemon/follower.py
@@ -26,7 +26,7 @@
 from lentilmount.queries.revisions import read_changes, read_snapshot
 from lentilmount.routing.directory import Directory
 from lentilmount.rows import REVISION_KEY
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 from lentilmount.wire import peer_pb2
 
 log = logbook.Logger('follower')
@@ -132,7 +132,7 @@
             self._wake.clear()
             await self._try_look()
             self._announce_news()
-            await wait_briefly(self._wake, self._get_pause())
+            await wait_with_timeout(self._wake, self._get_pause())
 
     async def _follow_peers(self) -> None:
         while True:
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -12,7 +12,7 @@
 from lentilmount.coordination.membership import Beat, Member, Membership
 from lentilmount.daemon.gossip import Gossip
 from lentilmount.routing.leaving import Mark
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 from lentilmount.wire import peer_pb2
 
 WHOLE_EVERY = 2
@@ -305,7 +305,7 @@
             urgent = pause()
             async with asyncio.timeout(silence):
                 await stream.send_message(courier.write(told, is_urgent))
-            await wait_briefly(urgent, interval)
+            await wait_with_timeout(urgent, interval)
             is_urgent = urgent.is_set()
 
     sending = asyncio.create_task(send())
--- a/lentilmount/platform/calls.py
+++ b/lentilmount/platform/calls.py
@@ -37,7 +37,7 @@
     most: float | None = None
 
 
-class Detour(Protocol):
+class StoreRelay(Protocol):
     """Another way to the table service."""
 
     def is_preferred(self, part: str) -> bool:
@@ -47,13 +47,13 @@
         """Returns an answer, 599 if it was lost; None if there is no way."""
 
 
-class NoDetour:
+class NoRelay:
     """The direct way is the only one."""
 
     def is_preferred(self, part: str) -> bool:
-        """See `Detour`."""
+        """See `StoreRelay`."""
         return False
 
     async def send(self, call: StoreCall) -> Answer | None:
-        """See `Detour`."""
+        """See `StoreRelay`."""
         return None
--- a/lentilmount/platform/store.py
+++ b/lentilmount/platform/store.py
@@ -25,9 +25,9 @@
 from lentilmount.platform.calls import (
     ANSWERED,
     REFUSED,
-    Detour,
-    NoDetour,
+    NoRelay,
     StoreCall,
+    StoreRelay,
 )
 from lentilmount.upstream.http import Answer, HttpCaller
 
@@ -149,7 +149,7 @@
       caller: Sends the calls.
       timeout: Seconds for a call.
       observe: Told of each direct call; see `Observe`.
-      detour: Another way, taken where the direct one fails.
+      relay: Another way, taken where the direct one fails.
       write_timeout: Seconds for a transaction; `timeout` if None.
     """
 
@@ -158,13 +158,13 @@
         caller: HttpCaller,
         timeout: float,
         observe: Observe = lambda part, status, is_good, took: None,
-        detour: Detour | None = None,
+        relay: StoreRelay | None = None,
         write_timeout: float | None = None,
     ):
         self._caller = caller
         self._timeout = timeout
         self._observe = observe
-        self._detour = detour or NoDetour()
+        self._detour = relay or NoRelay()
         self._write_timeout = write_timeout or timeout
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
--- a/lentilmount/queries/watch.py
+++ b/lentilmount/queries/watch.py
@@ -29,7 +29,7 @@
 from lentilmount.queries.statuses import make_status
 from lentilmount.resources import Kind, Metadata, Status
 from lentilmount.rows import REVISION_KEY
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 
 LOOK_SECONDS = 0.1
 """Between two looks at what is known, one for all watchers."""
@@ -215,7 +215,7 @@
                 yield Notice(encode_cursor(positions), BOOKMARK)
             if self._is_current(positions):
                 yield None
-                await wait_briefly(news, IDLE_SECONDS)
+                await wait_with_timeout(news, IDLE_SECONDS)
 
     def _is_current(self, positions: Positions) -> bool:
         newest = self._get_newest()
--- a/lentilmount/scheduling/consolidation.py
+++ b/lentilmount/scheduling/consolidation.py
@@ -87,7 +87,7 @@
           now: Monotonic time.
         """
         self._looked_at = now
-        self.demand.note(now)
+        self.demand.update(now)
         waits = any(task.spec.fills for task in self.cluster.ready.values())
         if not waits or self._measure_away() > MOST_AWAY:
             return []
--- a/lentilmount/scheduling/demand.py
+++ b/lentilmount/scheduling/demand.py
@@ -30,7 +30,7 @@
     _shares: dict[str, float] = attrs.Factory(dict)
     _noted_at: float = -math.inf
 
-    def note(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Takes in what waits and runs now."""
         found = self._count_cores()
         weight = 1 - math.exp(-(now - self._noted_at) / AVERAGE_SECONDS)
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -49,7 +49,7 @@
     _running: float = 0.0
     _noted_at: float = -math.inf
 
-    def note(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Takes in how many cores urgent work runs on or waits for."""
         passed = now - self._noted_at
         if passed < NOTE_SECONDS:
--- a/lentilmount/scheduling/placement.py
+++ b/lentilmount/scheduling/placement.py
@@ -78,7 +78,7 @@
         if not self.cluster.ready:
             return []
         views = self._views.list_open(now)
-        self._headroom.note(now)
+        self._headroom.update(now)
         self._holds.expire(now)
         work = _Pass(
             self.cluster,
--- a/lentilmount/waiting.py
+++ b/lentilmount/waiting.py
@@ -6,7 +6,7 @@
 import contextlib
 
 
-async def wait_briefly(event: asyncio.Event, seconds: float) -> None:
+async def wait_with_timeout(event: asyncio.Event, seconds: float) -> None:
     """Waits until an event is set or the time is over.
 
     `asyncio.wait_for` of Python 3.11 loses a cancellation that comes in the
--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -25,7 +25,11 @@
 from lentilmount.control.candidates import Candidates
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.owner import OwnerSettings
-from lentilmount.control.storewatch import Outage, Peers, StoreWatch
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+)
 from lentilmount.platform.store import Changes, PlatformTable
 from lentilmount.platform.workers import WorkerCalls
 from lentilmount.upstream.http import HttpCaller
@@ -330,7 +334,7 @@
 
 
 @attrs.define
-class ToldOutage(Outage):
+class ToldOutage(OutageDetector):
     """Asks daemons that answer as told.
 
     Attributes:
@@ -343,11 +347,13 @@
         return self.told[address]
 
 
-def make_outage(ages: dict[str, float | None], clock: ManualClock) -> Outage:
+def make_outage_detector(
+    ages: dict[str, float | None], clock: ManualClock
+) -> OutageDetector:
     """Returns what a daemon knows when the store has failed for a second."""
-    watch = StoreWatch(clock.monotonic, SERVICE)
-    watch.note(True)
+    watch = StoreHealth(clock.monotonic, SERVICE)
+    watch.record(True)
     clock.advance(1.0)
-    watch.note(False)
-    peers = Peers('a', ('a', *ages))
+    watch.record(False)
+    peers = PeerList('a', ('a', *ages))
     return ToldOutage(watch, HttpCaller(''), peers, told=ages)
--- a/tests/test_configuration_age.py
+++ b/tests/test_configuration_age.py
@@ -10,13 +10,13 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import feeds
-from lentilmount.control.follower import follow_configuration
+from lentilmount.control import table_feed
+from lentilmount.control.configuration_follower import follow_configuration
 from lentilmount.control.routes import RouteTable
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from tests.helpers import run
-from tests.platform_scene import make_configuration, make_outage
+from tests.platform_scene import make_configuration, make_outage_detector
 
 APPLY_SECONDS = 3.0
 STEP_SECONDS = 0.125
@@ -138,23 +138,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A version written as the store comes back is due as any other one."""
-    monkeypatch.setattr(feeds, 'RETRY_SECONDS', 0.0)
+    monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
     clock = ManualClock()
     start = clock.monotonic()
     back_at = start + 9.0
     noticed_at = back_at + CALL_SECONDS
     versions = [start, back_at]
     told: dict[str, float | None] = {'b': 5.0, 'c': 5.0}
-    outage = make_outage(told, clock)
-    routes = RouteTable(clock.monotonic, APPLY_SECONDS, outage.away_until)
+    outage = make_outage_detector(told, clock)
+    routes = RouteTable(clock.monotonic, APPLY_SECONDS, outage.outage_until)
     caller = _Caller(routes, clock, versions)
 
     async def look() -> None:
         now = clock.monotonic()
-        outage.watch.note(now < start + 5.0)
+        outage.health.record(now < start + 5.0)
         told.update(dict.fromkeys(told, 5.0 if now < noticed_at else 0.0))
         if outage.is_suspected:
-            await outage.ask()
+            await outage.poll_peers()
         await caller.look()
 
     store = _SlowStore(
--- a/tests/test_fanout.py
+++ b/tests/test_configuration_relay.py
@@ -11,15 +11,15 @@
 from tornado.web import Application, RequestHandler
 
 from lentilmount.clock import SystemClock
-from lentilmount.control.fanout import (
+from lentilmount.control.configuration_follower import follow_configuration
+from lentilmount.control.configuration_relay import (
     CONFIGURATION_PATH,
     ConfigurationHandler,
-    Sources,
+    ConfigurationSources,
 )
-from lentilmount.control.follower import follow_configuration
 from lentilmount.control.routes import RouteTable
 from lentilmount.coordination.table import UnavailableError
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import HttpCaller
 from tests.helpers import run
@@ -64,9 +64,11 @@
     return {'address': address, 'zone': zone, 'link_mbps': link_mbps}
 
 
-def _make_sources(caller: HttpCaller, *addresses: str) -> Sources:
-    sources = Sources('host-1', 'north', SMALL, caller, monotonic)
-    sources.note([_announce(address, 100.0, 'north') for address in addresses])
+def _make_sources(caller: HttpCaller, *addresses: str) -> ConfigurationSources:
+    sources = ConfigurationSources('host-1', 'north', SMALL, caller, monotonic)
+    sources.update(
+        [_announce(address, 100.0, 'north') for address in addresses]
+    )
     return sources
 
 
@@ -84,7 +86,7 @@
     larger: RouteTable
     own: RouteTable
     store: _Store
-    sources: Sources
+    sources: ConfigurationSources
 
     async def wait_for(self, version: int) -> None:
         """Waits until a version is in force on the small host."""
@@ -117,12 +119,12 @@
 
     async def play() -> list[int]:
         async with _open_scene() as scene:
-            scene.larger.offer(_make_row(1))
+            scene.larger.apply_row(_make_row(1))
             scene.larger.confirm(monotonic(), 5)
             await scene.wait_for(1)
             scene.store.asked.clear()
             for version in (2, 3):
-                scene.larger.offer(_make_row(version))
+                scene.larger.apply_row(_make_row(version))
                 scene.larger.confirm(monotonic(), 5 + version)
                 await scene.wait_for(version)
             assert scene.own.position == 8
@@ -138,7 +140,7 @@
     async def play() -> float:
         async with _open_scene() as scene:
             scene.store.is_away = True
-            scene.larger.offer(_make_row(1))
+            scene.larger.apply_row(_make_row(1))
             scene.larger.confirm(monotonic() - 1.0, 1)
             await scene.wait_for(1)
             for _ in range(5):
@@ -155,7 +157,7 @@
 
     async def play() -> None:
         async with _open_scene(is_closing) as scene:
-            scene.larger.offer(_make_row(1))
+            scene.larger.apply_row(_make_row(1))
             scene.larger.confirm(monotonic() - 10.0, 1)
             scene.store.row = _make_row(2)
             await scene.wait_for(2)
@@ -198,8 +200,10 @@
 
 
 def test_only_much_larger_links_of_the_zone_pass_it_on() -> None:
-    sources = Sources('host-1', 'north', SMALL, HttpCaller(''), monotonic)
-    sources.note(
+    sources = ConfigurationSources(
+        'host-1', 'north', SMALL, HttpCaller(''), monotonic
+    )
+    sources.update(
         [
             _announce('a:1', 100.0, 'south'),
             _announce('b:1', 5.0, 'north'),
@@ -208,7 +212,7 @@
         ]
     )
     assert sources.choose() == ''
-    sources.note([_announce('d:1', 20.0, 'north')])
+    sources.update([_announce('d:1', 20.0, 'north')])
     assert sources.choose() == 'd:1'
 
 
@@ -216,9 +220,9 @@
     announced = [_announce(f'{n}:1', 100.0, 'north') for n in range(3)]
     chosen = set()
     for number in range(30):
-        sources = Sources(
+        sources = ConfigurationSources(
             f'h-{number}', 'north', SMALL, HttpCaller(''), monotonic
         )
-        sources.note(announced)
+        sources.update(announced)
         chosen.add(sources.choose())
     assert len(chosen) == 3
--- a/tests/test_giving_up.py
+++ b/tests/test_giving_up.py
@@ -11,7 +11,7 @@
 from lentilmount.control import takeover
 from lentilmount.control.candidates import Candidates
 from lentilmount.coordination.table import Operation
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import Changes, PlatformTable
 from stand_ins.rowstore import RowStore
 from tests.helpers import run
@@ -78,7 +78,7 @@
         store, table = _open(stack)
         table.is_silent = is_reading
         candidates = Candidates(HOST)
-        candidates.note({}, True)
+        candidates.update({}, True)
         campaign = make_campaign(table, candidates)
         running = asyncio.create_task(campaign.run())
         await _wait_for_write(table, store, is_held)
@@ -118,7 +118,7 @@
             store.write(OWNER_ROW, orjson.dumps(['before', body]))
             table.is_silent = True
             candidates = Candidates(HOST)
-            candidates.note({}, True)
+            candidates.update({}, True)
             campaign = make_campaign(table, candidates)
             running = asyncio.create_task(campaign.run())
             await _wait_for_write(table, store, is_held=True)
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -17,10 +17,14 @@
 from lentilmount.control import campaign as campaigns
 from lentilmount.control import dispatch
 from lentilmount.control.candidates import Candidates
-from lentilmount.control.internal import make_internal
+from lentilmount.control.peer_api import make_peer_api
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import Outage, Peers, StoreWatch
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+)
+from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import PlatformTable
 from lentilmount.scheduling.placement import Placer
 from lentilmount.upstream.http import HttpCaller
@@ -65,7 +69,7 @@
         async with contextlib.AsyncExitStack() as stack:
             _, table = open_gated_table(stack)
             candidates = Candidates(SMALL_HOST)
-            candidates.note({'large:1': LARGE_HOST}, True)
+            candidates.update({'large:1': LARGE_HOST}, True)
             campaign = make_campaign(table, candidates)
             running = asyncio.create_task(campaign.run())
             async with asyncio.timeout(10):
@@ -88,10 +92,10 @@
     """A service was handed to a host that had not reached the store."""
 
     async def play() -> bool:
-        watch = StoreWatch(SystemClock().monotonic, SERVICE)
+        watch = StoreHealth(SystemClock().monotonic, SERVICE)
         caller = HttpCaller('')
-        silent = Outage(watch, caller, Peers('b'))
-        application = make_internal(
+        silent = OutageDetector(watch, caller, PeerList('b'))
+        application = make_peer_api(
             lambda part: silent,
             cast(PlatformTable, None),
             RouteTable(watch.monotonic, 2.0),
@@ -99,8 +103,8 @@
         sockets = bind_sockets(0, '127.0.0.1')
         server = HTTPServer(application)
         server.add_sockets(sockets)
-        own = StoreWatch(SystemClock().monotonic, SERVICE)
-        asking = Outage(own, caller, Peers('a'))
+        own = StoreHealth(SystemClock().monotonic, SERVICE)
+        asking = OutageDetector(own, caller, PeerList('a'))
         try:
             port = sockets[0].getsockname()[1]
             return await asking.may_own(f'127.0.0.1:{port}')
@@ -138,11 +142,11 @@
 
 def add_larger_host(scene: Scene) -> None:
     """Adds a daemon that hears the store and never takes a lease."""
-    watch = StoreWatch(SystemClock().monotonic, 'desk')
-    watch.note(True)
-    outage = Outage(watch, HttpCaller(''), Peers('b'))
+    watch = StoreHealth(SystemClock().monotonic, 'desk')
+    watch.record(True)
+    outage = OutageDetector(watch, HttpCaller(''), PeerList('b'))
     server = HTTPServer(
-        make_internal(
+        make_peer_api(
             lambda part: outage,
             cast(PlatformTable, None),
             RouteTable(watch.monotonic, 2.0),
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -216,7 +216,7 @@
             body = {'holder': 'host-2.b', 'epoch': 3, 'data': {}}
             store.write(OWNER_ROW, orjson.dumps(['before', body]))
             candidates = Candidates(HOST)
-            candidates.note({}, True)
+            candidates.update({}, True)
             campaign = make_campaign(table, candidates)
             running = asyncio.create_task(campaign.run())
             row = body
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -13,7 +13,7 @@
     Put,
     UnavailableError,
 )
-from lentilmount.waiting import wait_briefly
+from lentilmount.waiting import wait_with_timeout
 from stand_ins.table import MemoryTable
 from tests.helpers import run
 
@@ -125,7 +125,7 @@
 
     async def check() -> None:
         event = asyncio.Event()
-        task = asyncio.create_task(wait_briefly(event, 60.0))
+        task = asyncio.create_task(wait_with_timeout(event, 60.0))
         await asyncio.sleep(0)
         event.set()
         task.cancel()
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -14,7 +14,7 @@
 )
 from lentilmount.coordination.leases import LeaseKeeper
 from lentilmount.coordination.table import Key
-from lentilmount.platform.bootfile import Capacity
+from lentilmount.platform.host_settings import Capacity
 from stand_ins.table import MemoryTable
 from tests.helpers import run
 from tests.platform_scene import open_scene, wait_for_line
@@ -72,7 +72,7 @@
 ) -> None:
     candidates = Candidates(own)
     rows = [make_announcement('b:1', 'north', other), {'address': 'old:1'}]
-    candidates.note(read_capacities(rows), True)
+    candidates.update(read_capacities(rows), True)
     assert candidates.list_larger() == (['b:1'] if is_larger else [])
     assert candidates.may_be_outranked is is_larger
 
@@ -80,9 +80,9 @@
 def test_a_host_that_knows_no_others_yet_expects_larger_ones() -> None:
     candidates = Candidates(LARGE_HOST)
     assert candidates.may_be_outranked
-    candidates.note({}, False)
+    candidates.update({}, False)
     assert candidates.may_be_outranked
-    candidates.note({}, True)
+    candidates.update({}, True)
     assert not candidates.may_be_outranked
 
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -27,7 +27,6 @@
     UnavailableError,
 )
 from lentilmount.errors import InvalidError, SettingsError
-from lentilmount.platform.bootfile import decode_host_settings
 from lentilmount.platform.documents import (
     decode_job,
     decode_look,
@@ -35,6 +34,7 @@
     encode_job,
     restore_job,
 )
+from lentilmount.platform.host_settings import decode_host_settings
 from lentilmount.platform.store import (
     HistoryLostError,
     PlatformTable,
@@ -175,9 +175,9 @@
 def test_an_older_configuration_never_comes_back() -> None:
     """A row delivered late brought a removed route back."""
     routes = RouteTable(ManualClock().monotonic, 2.0)
-    routes.offer(RawRow('config', make_configuration(2, '/new/'), 20))
-    routes.offer(RawRow('config', make_configuration(1, '/old/'), 10))
-    routes.offer(RawRow('config', b'nonsense', 30))
+    routes.apply_row(RawRow('config', make_configuration(2, '/new/'), 20))
+    routes.apply_row(RawRow('config', make_configuration(1, '/old/'), 10))
+    routes.apply_row(RawRow('config', b'nonsense', 30))
     assert routes.find('desk.example', '/new/x') is not None
     assert routes.find('desk.example', '/old/x') is None
     assert routes.find('other.example', '/new/x') is None
--- a/tests/test_poll_intervals.py
+++ b/tests/test_poll_intervals.py
@@ -78,7 +78,7 @@
         pauses.append(seconds)
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(worker_session, 'wait_briefly', note)
+    monkeypatch.setattr(worker_session, 'wait_with_timeout', note)
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     calls = _Calls()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -39,7 +39,7 @@
             for h, p in declared
         ],
     }
-    routes.offer(RawRow('config', orjson.dumps(document), 1))
+    routes.apply_row(RawRow('config', orjson.dumps(document), 1))
     found = routes.find(host, path)
     expected = _find_naively(declared, host, path)
     if expected is None:
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -13,14 +13,18 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import feeds
-from lentilmount.control.feeds import Feed
-from lentilmount.control.follower import follow_configuration
+from lentilmount.control import table_feed
+from lentilmount.control.configuration_follower import follow_configuration
 from lentilmount.control.frontend import Traffic, make_frontend
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import Outage, Peers, StoreWatch
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+)
 from lentilmount.control.submissions import Submissions
+from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import HttpCaller
@@ -87,9 +91,9 @@
         yield PlatformTable(caller, CALL_SECONDS)
 
 
-async def _read_once(link: _Link, position: int | None) -> Feed:
+async def _read_once(link: _Link, position: int | None) -> TableFeed:
     async with _open_link(link) as table:
-        feed = Feed(table, 'op', 0.0, position=position)
+        feed = TableFeed(table, 'op', 0.0, position=position)
         await feed.read()
         return feed
 
@@ -115,7 +119,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """After an outage all hosts read the longest row whole."""
-    monkeypatch.setattr(feeds, 'RETRY_SECONDS', 0.0)
+    monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
     asked: list[str] = []
 
     class Failing(PlatformTable):
@@ -146,7 +150,7 @@
     monkeypatch: pytest.MonkeyPatch, is_outage: bool
 ) -> None:
     """After an outage for all every daemon refused until it heard the feed."""
-    monkeypatch.setattr(feeds, 'RETRY_SECONDS', 0.0)
+    monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
     clock = ManualClock()
     known_away = clock.monotonic if is_outage else lambda: -math.inf
     routes = RouteTable(clock.monotonic, 2.0, known_away)
@@ -184,9 +188,11 @@
             clock = ManualClock()
             _, store = open_store(stack)
             table = PlatformTable(store, CALL_SECONDS)
-            outage = Outage(StoreWatch(clock.monotonic, ''), store, Peers('a'))
+            outage = OutageDetector(
+                StoreHealth(clock.monotonic, ''), store, PeerList('a')
+            )
             routes = RouteTable(clock.monotonic, 2.0)
-            routes.offer(RawRow('config', make_configuration(1), 1))
+            routes.apply_row(RawRow('config', make_configuration(1), 1))
             routes.confirm(clock.monotonic())
             app = make_frontend(
                 Submissions(table, routes, clock, lambda part: outage),
--- a/tests/test_storewatch.py
+++ b/tests/test_store_health.py
@@ -7,15 +7,15 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.storewatch import (
-    Outage,
-    Peers,
-    StoreWatch,
-    probe_always,
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+    probe_store,
 )
 from lentilmount.upstream.http import HttpCaller
 from tests.helpers import run
-from tests.platform_scene import make_outage
+from tests.platform_scene import make_outage_detector
 
 
 @pytest.mark.parametrize(
@@ -30,10 +30,10 @@
     ages: dict[str, float | None], helpers: list[str]
 ) -> None:
     """Calls went through a daemon that does not hear from the store either."""
-    outage = make_outage(ages, ManualClock())
-    assert sorted(outage.list_helpers()) == ['b', 'c']
-    run(outage.ask())
-    assert outage.list_helpers() == helpers
+    outage = make_outage_detector(ages, ManualClock())
+    assert sorted(outage.list_relays()) == ['b', 'c']
+    run(outage.poll_peers())
+    assert outage.list_relays() == helpers
 
 
 @pytest.mark.parametrize(
@@ -51,13 +51,13 @@
 ) -> None:
     """An owner that was about to be replaced started tasks unwritten."""
     clock = ManualClock()
-    outage = make_outage(ages, clock)
-    assert outage.watch.is_down
-    run(outage.ask())
+    outage = make_outage_detector(ages, clock)
+    assert outage.health.is_down
+    run(outage.poll_peers())
     assert outage.is_general() is general
     clock.advance(0.3)
     assert outage.is_cut_off() is cut_off
-    outage.watch.note(True)
+    outage.health.record(True)
     assert not outage.is_cut_off()
     assert not outage.is_general()
 
@@ -68,18 +68,18 @@
 ) -> None:
     """Asked by others in an outage, a quiet daemon said that there was none."""
     clock = ManualClock()
-    watch = StoreWatch(clock.monotonic, 'desk')
-    watch.note(True)
+    watch = StoreHealth(clock.monotonic, 'desk')
+    watch.record(True)
     clock.advance(passed)
-    outage = Outage(watch, HttpCaller(''), Peers('a'))
+    outage = OutageDetector(watch, HttpCaller(''), PeerList('a'))
     found: list[str] = []
 
     async def probe(part: str) -> None:
         found.append(part)
-        watch.note(True)
+        watch.record(True)
 
     async def play() -> None:
-        work = asyncio.create_task(probe_always({'desk': outage}, probe, 0.0))
+        work = asyncio.create_task(probe_store({'desk': outage}, probe, 0.0))
         for _ in range(5):
             await asyncio.sleep(0)
         work.cancel()
@@ -91,15 +91,15 @@
 def test_a_call_from_before_the_stores_return_does_not_count() -> None:
     """A feed that hung in an outage made its end last a second longer."""
     clock = ManualClock()
-    watch = StoreWatch(clock.monotonic, 'desk')
-    watch.note(True)
+    watch = StoreHealth(clock.monotonic, 'desk')
+    watch.record(True)
     clock.advance(2.0)
-    watch.note(False, 0.6)
+    watch.record(False, 0.6)
     assert watch.is_down
-    watch.note(True, 0.01)
+    watch.record(True, 0.01)
     clock.advance(0.7)
-    watch.note(False, 1.3)
+    watch.record(False, 1.3)
     clock.advance(0.2)
     assert watch.age == 0.0
-    watch.note(False, 0.2)
+    watch.record(False, 0.2)
     assert watch.is_down
--- a/tests/test_detour.py
+++ b/tests/test_store_relay.py
@@ -8,9 +8,9 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.detour import PeerDetour
-from lentilmount.control.internal import make_internal
+from lentilmount.control.peer_api import make_peer_api
 from lentilmount.control.routes import RouteTable
+from lentilmount.control.store_relay import PeerRelay
 from lentilmount.coordination.table import Key, Put, UnavailableError
 from lentilmount.platform.store import PlatformTable, RefusedError
 from lentilmount.upstream.http import Answer, HttpCaller
@@ -19,7 +19,7 @@
 from tests.platform_scene import (
     PREFIX,
     listen,
-    make_outage,
+    make_outage_detector,
     open_scene,
     open_store,
     wait_for_line,
@@ -42,12 +42,12 @@
 
 def make_table(statuses: list[int]) -> PlatformTable:
     """Returns a table whose calls are answered as told on any way."""
-    outage = make_outage({'b': 0.0, 'c': 0.0}, ManualClock())
-    run(outage.ask())
+    outage = make_outage_detector({'b': 0.0, 'c': 0.0}, ManualClock())
+    run(outage.poll_peers())
     caller = FixedCaller('')
     caller.statuses = statuses
-    detour = PeerDetour(caller, lambda part: outage, outage.watch.monotonic)
-    return PlatformTable(caller, 1.0, detour=detour)
+    relay = PeerRelay(caller, lambda part: outage, outage.health.monotonic)
+    return PlatformTable(caller, 1.0, relay=relay)
 
 
 @pytest.mark.parametrize('statuses', [[200], [503, 200], [599, 200]])
@@ -123,9 +123,9 @@
         async with contextlib.AsyncExitStack() as stack:
             _, store = open_store(stack)
             clock = ManualClock()
-            outage = make_outage({}, clock)
-            outage.watch.note(True)
-            application = make_internal(
+            outage = make_outage_detector({}, clock)
+            outage.health.record(True)
+            application = make_peer_api(
                 lambda part: outage,
                 PlatformTable(store, 1.0),
                 RouteTable(clock.monotonic, 2.0),
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -8,7 +8,11 @@
 
 from lentilmount.clock import SystemClock
 from lentilmount.control.routes import RouteTable
-from lentilmount.control.storewatch import Outage, Peers, StoreWatch
+from lentilmount.control.store_health import (
+    OutageDetector,
+    PeerList,
+    StoreHealth,
+)
 from lentilmount.control.submissions import Submissions
 from lentilmount.coordination.table import (
     ConflictError,
@@ -64,8 +68,8 @@
 def submit(failures: list[Exception]) -> ToldTable:
     """Hands in a job."""
     clock = SystemClock()
-    watch = StoreWatch(clock.monotonic, 'desk')
-    outage = Outage(watch, HttpCaller(''), Peers('a'))
+    watch = StoreHealth(clock.monotonic, 'desk')
+    outage = OutageDetector(watch, HttpCaller(''), PeerList('a'))
     table = ToldTable(list(failures))
     routes = RouteTable(clock.monotonic, 2.0)
     submissions = Submissions(table, routes, clock, lambda part: outage)
--- a/tests/test_feeds.py
+++ b/tests/test_table_feed.py
@@ -9,8 +9,8 @@
 import attrs
 import pytest
 
-from lentilmount.control import feeds
-from lentilmount.control.feeds import Feed
+from lentilmount.control import table_feed
+from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import UnavailableError, scan_all
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import Answer, HttpCaller
@@ -66,20 +66,20 @@
         return answer
 
 
-async def _read(feed: Feed, times: int) -> list[str]:
+async def _read(feed: TableFeed, times: int) -> list[str]:
     return [row.key for _ in range(times) for row in await feed.read()]
 
 
 @pytest.fixture(autouse=True)
 def _retry_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feeds, 'RETRY_SECONDS', 0.0)
+    monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
 
 
 def test_a_large_table_goes_on_where_it_was_after_a_failure() -> None:
     """Read anew after each failed call, a large table filled a small link."""
     new = Changes((RawRow('new', b'', 6),), 6)
     calls = _Calls(False, [None, new])
-    feed = Feed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
+    feed = TableFeed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
     assert run(_read(feed, 2)) == ['new']
     assert calls.asked == [5, 5]
     assert feed.position == 6
@@ -88,7 +88,7 @@
 def test_a_feed_that_stays_silent_is_read_whole() -> None:
     """The store's feed answers nothing while its lists are answered."""
     calls = _Calls(True, [None, None])
-    feed = Feed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
+    feed = TableFeed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
     assert run(_read(feed, 3)) == ['listed']
     assert calls.asked == [5, 5, None]
     assert feed.position == 9
@@ -98,7 +98,7 @@
     """Both fail for a while: each is tried again, from the same version."""
     new = Changes((RawRow('new', b'', 6),), 6)
     calls = _Calls(False, [None, None, new])
-    feed = Feed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
+    feed = TableFeed(cast(PlatformTable, calls), 'jobs', 1.0, position=5)
     assert run(_read(feed, 4)) == ['new']
     assert calls.asked == [5, 5, None, 5]
 
