--- a/lentilmount/control/candidates.py
+++ b/lentilmount/control/candidates.py
@@ -86,6 +86,6 @@
         return sorted(larger, key=lambda address: -sizes[address])
 
     @property
-    def may_be_outranked(self) -> bool:
+    def may_have_larger(self) -> bool:
         """Whether a much larger host is known, or may not be known yet."""
         return not self.is_complete or bool(self.list_larger())
--- a/lentilmount/control/dispatch.py
+++ b/lentilmount/control/dispatcher.py
@@ -9,8 +9,8 @@
 import logbook
 
 from lentilmount.control.advice import Advice
-from lentilmount.control.commits import Commits
 from lentilmount.control.metrics import ControlMetrics
+from lentilmount.control.state_writer import StateWriter
 from lentilmount.coordination.leases import Lease
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Job, Task, Worker
@@ -24,7 +24,7 @@
 """Between two passes where nothing has told that there is something to place:
 time alone opens workers and makes gathered steps due."""
 
-FIRST_LOOK_SECONDS = 0.7
+FIRST_POLL_TIMEOUT_SECONDS = 0.7
 """How long a new owner waits for the workers' first answers before it places
 anything: the workers that answer at all do so in a few ms."""
 
@@ -50,13 +50,13 @@
 
 
 @attrs.define(eq=False)
-class Dispatch:
+class Dispatcher:
     """Places the tasks of one owner.
 
     Attributes:
       cluster: What it knows.
       placer: Chooses workers.
-      commits: Writes what was placed, and has it sent.
+      state_writer: Writes what was placed, and has it sent.
       advice: Knows which workers may run advised steps.
       unrecorded_starts: What the previous owner may have started unwritten.
       metrics: What the daemon counts.
@@ -69,7 +69,7 @@
 
     cluster: ClusterState
     placer: Placer
-    commits: Commits
+    state_writer: StateWriter
     advice: Advice
     unrecorded_starts: UnrecordedStarts
     metrics: ControlMetrics
@@ -101,7 +101,7 @@
         A task that the previous owner started in an outage stands in no row;
         started again before its worker has been heard, it would run twice.
         """
-        end = self.monotonic() + FIRST_LOOK_SECONDS
+        end = self.monotonic() + FIRST_POLL_TIMEOUT_SECONDS
         while self.monotonic() < end:
             present = [
                 w for w in self.cluster.workers.values() if w.is_registered
@@ -118,7 +118,7 @@
             allows = self._allow_new
         starts: list[Start] = []
         for task, worker in self.placer.place(now, allows):
-            self.commits.add_start(task)
+            self.state_writer.add_start(task)
             self.metrics.count_start()
             if task.job.first_placed_at == now:
                 started.add(task.job)
@@ -130,7 +130,7 @@
         for job in started:
             self.metrics.observe_first_start(now - job.accepted_at)
         if self.is_outage():
-            self.commits.send_unrecorded()
+            self.state_writer.send_unrecorded()
 
     def _allow_new(self, task: Task, worker: Worker) -> bool:
         if self.unrecorded_starts.affects(task):
--- a/lentilmount/control/campaign.py
+++ b/lentilmount/control/election.py
@@ -16,10 +16,10 @@
 from lentilmount.clock import Clock
 from lentilmount.control.candidates import Candidates
 from lentilmount.control.keys import make_owner_key
-from lentilmount.control.leasedata import LeaseData, decode
+from lentilmount.control.lease_data import LeaseData, decode
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.owner import (
-    PROMISE_SECONDS,
+    RENEW_WITHOUT_STORE_SECONDS,
     Owner,
     OwnerSettings,
 )
@@ -54,16 +54,16 @@
 POLL_SECONDS = 0.5
 JITTER_SECONDS = 0.1
 
-HEAD_START_SECONDS = 1.2
+LARGER_HOST_HEAD_START_SECONDS = 1.2
 """For how long a free lease is left to larger hosts: two of their looks at it.
 Where none of them comes, a takeover takes so much longer."""
 
-LEAST_TENURE_SECONDS = 3.0
+MIN_TENURE_SECONDS = 3.0
 """How long an owner works, from when it has read all jobs, before it hands over
 to a larger host. Then a handover, which takes about a second where the larger
 host comes, costs a quarter of the time at most."""
 
-LONGEST_TENURE_SECONDS = 60.0
+MAX_TENURE_SECONDS = 60.0
 """The same where larger hosts have not come. Each time costs over 2 s without
 an owner, so the tenure doubles with each, up to a share of one in thirty."""
 
@@ -87,7 +87,7 @@
 
 
 @attrs.define
-class Campaign:
+class ServiceElection:
     """Takes a service's lease when it is free, and owns it then.
 
     Attributes:
@@ -188,7 +188,11 @@
         return kept.encode(told.epoch + 1)
 
     def _defer(self) -> float:
-        return HEAD_START_SECONDS if self.candidates.may_be_outranked else 0.0
+        return (
+            LARGER_HOST_HEAD_START_SECONDS
+            if self.candidates.may_have_larger
+            else 0.0
+        )
 
     async def _own(self, keeper: LeaseKeeper, lease: Lease) -> None:
         log.info(
@@ -218,7 +222,7 @@
         finally:
             handover.cancel()
             self.owner = None
-        if owner.lost:
+        if owner.lost_reason:
             return
         data = decode(lease.data, lease.epoch)
         told = attrs.evolve(data, remaining=owner.list_remaining())
@@ -260,8 +264,8 @@
         A lease that follows our own handover was not taken by the heir.
         """
         is_back = self._handed_over and lease.epoch == self._handed_over + 1
-        longer = min(2 * self._tenure, LONGEST_TENURE_SECONDS)
-        self._tenure = longer if is_back else LEAST_TENURE_SECONDS
+        longer = min(2 * self._tenure, MAX_TENURE_SECONDS)
+        self._tenure = longer if is_back else MIN_TENURE_SECONDS
         return self._tenure
 
     async def _find_heir(self) -> str:
@@ -277,7 +281,7 @@
         It heard of the store at the latest when its lease began, renews for
         the promised time from then, and workers' clocks may be slow.
         """
-        promised = PROMISE_SECONDS - LEASE_SECONDS
+        promised = RENEW_WITHOUT_STORE_SECONDS - LEASE_SECONDS
         lease = self.settings.lease_seconds / SLOWEST_CLOCK
         return promised + lease + LAPSE_MARGIN_SECONDS
 
--- a/lentilmount/control/intake.py
+++ b/lentilmount/control/job_loader.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(eq=False)
-class Intake:
+class JobLoader:
     """Brings jobs into the book of an owner.
 
     Attributes:
--- a/lentilmount/control/lifecycle.py
+++ b/lentilmount/control/lifecycle.py
@@ -12,7 +12,6 @@
 from tornado.web import Application
 
 from lentilmount.clock import SystemClock
-from lentilmount.control.campaign import Campaign, make_name
 from lentilmount.control.candidates import (
     Candidates,
     make_announcement,
@@ -23,6 +22,7 @@
     watch_age,
 )
 from lentilmount.control.configuration_relay import ConfigurationSources
+from lentilmount.control.election import ServiceElection, make_name
 from lentilmount.control.frontend import Traffic, make_frontend, make_readiness
 from lentilmount.control.keys import make_daemon_key, make_owner_key
 from lentilmount.control.metrics import ControlMetrics, make_metrics
@@ -150,7 +150,7 @@
             settings.times.apply,
             self.find_outage_detector('').outage_until,
         )
-        self.campaigns: dict[str, Campaign] = {}
+        self.elections: dict[str, ServiceElection] = {}
         self.name = make_name(settings.name)
 
     def find_outage_detector(self, part: str) -> OutageDetector:
@@ -184,9 +184,9 @@
         self.metrics.set_gauge(
             'lentilmount_configuration_age_seconds', {'': self.routes.age}, ''
         )
-        for campaign in self.campaigns.values():
-            if campaign.owner is not None:
-                campaign.owner.refresh_metrics()
+        for election in self.elections.values():
+            if election.owner is not None:
+                election.owner.refresh_metrics()
 
     def is_ready(self) -> bool:
         """Whether new connections are welcome."""
@@ -220,8 +220,8 @@
             await stop.wait()
             self.traffic.is_closing = True
             log.info('Stopping.', extra={'ready': False})
-            for campaign in self.campaigns.values():
-                campaign.stop()
+            for election in self.elections.values():
+                election.stop()
             campaigning.cancel()
             await self._drain()
             for server in servers:
@@ -329,15 +329,15 @@
             self.routes.changed.clear()
             current = self.routes.current
             for service in current.services if current else ():
-                if service not in self.campaigns:
-                    campaign = self._make_campaign(service)
-                    self.campaigns[service] = campaign
-                    group.create_task(campaign.run())
+                if service not in self.elections:
+                    election = self._make_campaign(service)
+                    self.elections[service] = election
+                    group.create_task(election.run())
 
-    def _make_campaign(self, service: str) -> Campaign:
+    def _make_campaign(self, service: str) -> ServiceElection:
         times = self._settings.times
         settings = OwnerSettings(service, times.lease, times.status)
-        return Campaign(
+        return ServiceElection(
             settings,
             self.table,
             self.name,
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -11,15 +11,15 @@
 
 from lentilmount.clock import Clock
 from lentilmount.control.advice import Advice
-from lentilmount.control.commits import Commits
-from lentilmount.control.dispatch import Dispatch
+from lentilmount.control.dispatcher import Dispatcher
 from lentilmount.control.gauges import refresh_gauges
-from lentilmount.control.intake import Intake
+from lentilmount.control.job_loader import JobLoader
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.registry import follow_workers
 from lentilmount.control.retention import Retention
-from lentilmount.control.steering import Steering
+from lentilmount.control.state_writer import StateWriter
 from lentilmount.control.takeover import take_over
+from lentilmount.control.task_control import TaskController
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import CLOCK_DRIFT, Lease, LeaseKeeper
@@ -42,7 +42,7 @@
 
 log = logbook.Logger('owner')
 
-PROMISE_SECONDS = 3.0
+RENEW_WITHOUT_STORE_SECONDS = 3.0
 """How long leases are renewed without a word from the store, unless no daemon
 hears from it. An owner alone without the store is replaced after 2 s, and the
 next one waits for what may run on workers that it cannot reach: each second
@@ -134,14 +134,14 @@
             self._advice.get_ticket,
             self._wake.set,
         )
-        self._steering = Steering(
+        self._task_controller = TaskController(
             self.cluster,
             interference_model,
             WorkerHealth(),
             self._commands,
             metrics,
         )
-        self._commits = Commits(
+        self._state_writer = StateWriter(
             settings.service,
             table,
             keeper,
@@ -155,7 +155,7 @@
             Retention(settings.service, self.cluster, settings.status_seconds),
             self._forget,
         )
-        self._intake = Intake(
+        self._job_loader = JobLoader(
             settings.service,
             table,
             self.cluster,
@@ -165,7 +165,7 @@
         )
 
     @property
-    def lost(self) -> str:
+    def lost_reason(self) -> str:
         """Why the service is no longer owned, or ''."""
         return self._lost
 
@@ -177,7 +177,7 @@
         """
         lapse_seconds = self._lapse_seconds
         if not await take_over(
-            self._intake, self._commits, lapse_seconds, self._ended
+            self._job_loader, self._state_writer, lapse_seconds, self._ended
         ):
             return
         now = self._clock.monotonic()
@@ -196,11 +196,11 @@
             ),
             frozenset(self.cluster.jobs),
         )
-        self._commits.unrecorded_starts = unrecorded_starts
-        dispatch = Dispatch(
+        self._state_writer.unrecorded_starts = unrecorded_starts
+        dispatch = Dispatcher(
             self.cluster,
             Placer(self.cluster, self._interference_model),
-            self._commits,
+            self._state_writer,
             self._advice,
             unrecorded_starts,
             self._metrics,
@@ -208,7 +208,7 @@
             self._lease,
             self._is_outage,
             self._wake,
-            self._steering.stop,
+            self._task_controller.stop,
         )
         log.info(
             'Loaded {} jobs of {}.',
@@ -224,15 +224,15 @@
         async with asyncio.TaskGroup() as group:
             self._group = group
             self._resume()
-            self._spawn(self._commits.run())
-            self._spawn(self._intake.follow())
+            self._spawn(self._state_writer.run())
+            self._spawn(self._job_loader.follow())
             self._spawn(self._follow_workers())
             self._spawn(dispatch.run())
             self._spawn(self._advice.run())
             self._spawn(self._tick_always())
             await self._ended.wait()
             if not self._lost:
-                await self._commits.settle()
+                await self._state_writer.settle()
             for task in list(self._background):
                 task.cancel()
 
@@ -274,12 +274,12 @@
     def _cancel(self, job_id: str) -> None:
         for task in self.cluster.cancel(job_id, self._clock.monotonic()):
             self._commands.stop(task)
-        self._commits.note_change()
+        self._state_writer.note_change()
 
     def _forget(self, jobs: list[Job]) -> None:
         for job in jobs:
             self._advice.forget(job.spec.id)
-            self._steering.forget_job(job)
+            self._task_controller.forget_job(job)
 
     # Workers.
 
@@ -313,7 +313,7 @@
                 extra={'worker': entry.id, 'born': entry.started_ms},
             )
             if entry.state is WorkerState.DRAINING:
-                self._steering.drain(worker)
+                self._task_controller.drain(worker)
         self._wake.set()
 
     def _miss(self, worker_id: str) -> None:
@@ -361,7 +361,7 @@
     def may_renew(self) -> bool:
         """See `SessionListener`."""
         age = self._clock.monotonic() - self._lease.renewed_at
-        return age < PROMISE_SECONDS or self._is_outage()
+        return age < RENEW_WITHOUT_STORE_SECONDS or self._is_outage()
 
     def handle_tasks_ended(
         self, worker: Worker, tasks: list[Task], why: str
@@ -374,22 +374,22 @@
             extra={'worker': worker.id, 'tasks': [str(t.id) for t in tasks]},
         )
         for task in tasks:
-            self._steering.forget(task)
+            self._task_controller.forget(task)
         self._wake.set()
-        self._commits.note_change()
+        self._state_writer.note_change()
 
     def handle_poll_result(
         self, worker: Worker, result: ReconcileResult
     ) -> None:
         """See `SessionListener`."""
-        self._steering.handle_poll_result(
+        self._task_controller.handle_poll_result(
             worker, result, self._clock.monotonic()
         )
         if worker.is_reported_unreachable:
-            self._commits.note_change()
+            self._state_writer.note_change()
         if result.ended or result.adopted or result.expired:
             self._wake.set()
-            self._commits.note_change()
+            self._state_writer.note_change()
 
     def refresh_metrics(self) -> None:
         """Brings the gauges up to date."""
@@ -399,4 +399,4 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self.cluster.create_due_tasks(self._clock.wall())
-            self._steering.tick(self._clock.monotonic())
+            self._task_controller.tick(self._clock.monotonic())
--- a/lentilmount/control/retention.py
+++ b/lentilmount/control/retention.py
@@ -34,7 +34,7 @@
     cluster: ClusterState
     seconds: float
 
-    def list_old(self, now: float) -> list[Job]:
+    def list_expired(self, now: float) -> list[Job]:
         """Lists a few jobs whose rows can go."""
         keep = self.seconds + MARGIN_SECONDS
         old = []
--- a/lentilmount/control/commits.py
+++ b/lentilmount/control/state_writer.py
@@ -15,7 +15,7 @@
     make_model_key,
     make_state_key,
 )
-from lentilmount.control.leasedata import describe
+from lentilmount.control.lease_data import describe
 from lentilmount.control.retention import Retention
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import Lease, LeaseKeeper, LeaseLostError
@@ -88,7 +88,7 @@
 
 
 @attrs.define(eq=False)
-class Commits:
+class StateWriter:
     """Writes what changed in the book.
 
     Attributes:
@@ -216,7 +216,9 @@
         counts = self._make_counts(jobs)
         model = self._make_model()
         states = [self._make_state(job) for job in jobs]
-        old = [] if jobs else self.retention.list_old(self.clock.monotonic())
+        old = (
+            [] if jobs else self.retention.list_expired(self.clock.monotonic())
+        )
         removals = self.retention.make_removals(old)
         operations = [*states, *counts, *model, *removals]
         silent = self._tell_next_owner(bool(mark.waiting))
--- a/lentilmount/control/takeover.py
+++ b/lentilmount/control/takeover.py
@@ -7,17 +7,17 @@
 import gc
 from collections.abc import Iterator
 
-from lentilmount.control.commits import (
+from lentilmount.control.job_loader import JobLoader
+from lentilmount.control.state_writer import (
     RENEW_SECONDS,
     SETTLE_SECONDS,
-    Commits,
+    StateWriter,
 )
-from lentilmount.control.intake import Intake
 
 
 async def take_over(
-    intake: Intake,
-    commits: Commits,
+    job_loader: JobLoader,
+    state_writer: StateWriter,
     lapse_seconds: float,
     ended: asyncio.Event,
 ) -> bool:
@@ -28,10 +28,10 @@
     that, and nobody ever owned the service.
 
     Args:
-      intake: Reads the jobs.
-      commits: Renews the lease; nothing else may write meanwhile, as each
+      job_loader: Reads the jobs.
+      state_writer: Renews the lease; nothing else may write meanwhile, as each
         write must be settled before the next.
-      lapse_seconds: See `Intake.load`.
+      lapse_seconds: See `JobLoader.load`.
       ended: Set when the owner is to stop. A planned stop must not wait for a
         store that is away.
 
@@ -41,8 +41,10 @@
     Raises:
       UnavailableError: The rows cannot be read.
     """
-    reading = asyncio.create_task(_read(intake, commits, lapse_seconds))
-    holding = asyncio.create_task(_hold(reading, commits))
+    reading = asyncio.create_task(
+        _read(job_loader, state_writer, lapse_seconds)
+    )
+    holding = asyncio.create_task(_hold(reading, state_writer))
     stopping = asyncio.create_task(ended.wait())
     try:
         with _pause_collector():
@@ -64,11 +66,11 @@
     return True
 
 
-async def _hold(reading: asyncio.Task[None], commits: Commits) -> bool:
+async def _hold(reading: asyncio.Task[None], state_writer: StateWriter) -> bool:
     """Renews the lease until all is read; returns whether it is still held."""
     while not reading.done():
         await asyncio.wait({reading}, timeout=RENEW_SECONDS)
-        if not reading.done() and not await commits.renew():
+        if not reading.done() and not await state_writer.renew():
             return False
     return True
 
@@ -88,6 +90,8 @@
         gc.enable()
 
 
-async def _read(intake: Intake, commits: Commits, lapse_seconds: float) -> None:
-    await intake.load(lapse_seconds)
-    await commits.restore()
+async def _read(
+    job_loader: JobLoader, state_writer: StateWriter, lapse_seconds: float
+) -> None:
+    await job_loader.load(lapse_seconds)
+    await state_writer.restore()
--- a/lentilmount/control/steering.py
+++ b/lentilmount/control/task_control.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(eq=False)
-class Steering:
+class TaskController:
     """Keeps tasks that serve in bounds, and work off bad workers.
 
     Attributes:
--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -21,8 +21,8 @@
 from tornado.web import Application
 
 from lentilmount.clock import ManualClock, SystemClock
-from lentilmount.control.campaign import Campaign
 from lentilmount.control.candidates import Candidates
+from lentilmount.control.election import ServiceElection
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.owner import OwnerSettings
 from lentilmount.control.store_health import (
@@ -317,9 +317,11 @@
     return True
 
 
-def make_campaign(table: PlatformTable, candidates: Candidates) -> Campaign:
+def make_election(
+    table: PlatformTable, candidates: Candidates
+) -> ServiceElection:
     """Returns a campaign for which every larger host can own."""
-    return Campaign(
+    return ServiceElection(
         OwnerSettings(SERVICE, 6.0, 120.0),
         table,
         'host-1.a',
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -13,7 +13,7 @@
 import pytest
 
 from lentilmount.context import Environment
-from lentilmount.control.dispatch import log_starts
+from lentilmount.control.dispatcher import log_starts
 from lentilmount.core import main
 from lentilmount.logflow import LINES_A_SECOND, FlowHandler
 from lentilmount.status import ExitStatus
--- a/tests/test_handing_over.py
+++ b/tests/test_handover_to_larger_host.py
@@ -14,8 +14,8 @@
 from tornado.netutil import bind_sockets
 
 from lentilmount.clock import SystemClock
-from lentilmount.control import campaign as campaigns
-from lentilmount.control import dispatch
+from lentilmount.control import dispatcher
+from lentilmount.control import election as elections
 from lentilmount.control.candidates import Candidates
 from lentilmount.control.peer_api import make_peer_api
 from lentilmount.control.routes import RouteTable
@@ -32,7 +32,7 @@
 from tests.platform_scene import (
     SERVICE,
     Scene,
-    make_campaign,
+    make_election,
     open_gated_table,
     open_scene,
     wait_for_line,
@@ -53,10 +53,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A small owner handed over before it had placed anything, each time."""
-    monkeypatch.setattr(campaigns, 'LEAST_TENURE_SECONDS', 0.3)
-    monkeypatch.setattr(campaigns, 'HEAD_START_SECONDS', 0.1)
-    monkeypatch.setattr(campaigns, 'LARGER_POLL_SECONDS', 0.05)
-    monkeypatch.setattr(dispatch, 'FIRST_LOOK_SECONDS', 0.05)
+    monkeypatch.setattr(elections, 'MIN_TENURE_SECONDS', 0.3)
+    monkeypatch.setattr(elections, 'LARGER_HOST_HEAD_START_SECONDS', 0.1)
+    monkeypatch.setattr(elections, 'LARGER_POLL_SECONDS', 0.05)
+    monkeypatch.setattr(dispatcher, 'FIRST_POLL_TIMEOUT_SECONDS', 0.05)
     passes: list[float] = []
 
     def note(*args: object) -> list[object]:
@@ -70,18 +70,18 @@
             _, table = open_gated_table(stack)
             candidates = Candidates(SMALL_HOST)
             candidates.update({'large:1': LARGE_HOST}, True)
-            campaign = make_campaign(table, candidates)
-            running = asyncio.create_task(campaign.run())
+            election = make_election(table, candidates)
+            running = asyncio.create_task(election.run())
             async with asyncio.timeout(10):
-                while campaign.owner is None:
+                while election.owner is None:
                     await asyncio.sleep(0.01)
-            owner = campaign.owner
+            owner = election.owner
             await asyncio.sleep(0.8)
             table.gate.set()
             async with asyncio.timeout(10):
-                while campaign.owner is owner:
+                while election.owner is owner:
                     await asyncio.sleep(0.01)
-            campaign.stop()
+            election.stop()
             await running
 
     run(play())
--- a/tests/test_intake.py
+++ b/tests/test_job_loader.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from lentilmount.clock import SystemClock
-from lentilmount.control.intake import Intake
+from lentilmount.control.job_loader import JobLoader
 from lentilmount.control.keys import make_cancel_key, make_job_key
 from lentilmount.coordination.table import ABSENT, Put
 from lentilmount.coordination.transactions import make_token
@@ -44,7 +44,7 @@
             cluster = ClusterState()
             arrived = asyncio.Event()
             cancelled: list[str] = []
-            intake = Intake(
+            job_loader = JobLoader(
                 'desk',
                 table,
                 cluster,
@@ -52,9 +52,9 @@
                 cancelled.append,
                 arrived.set,
             )
-            await intake.load(1.0)
+            await job_loader.load(1.0)
             assert list(cluster.jobs) == ['first']
-            following = asyncio.create_task(intake.follow())
+            following = asyncio.create_task(job_loader.follow())
             await submit(table, 'other', 'third')
             await cancel(table, 'other', 'second')
             await submit(table, 'desk', 'fourth')
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -13,9 +13,9 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.campaign import LEASE_SECONDS, POLL_SECONDS
 from lentilmount.control.candidates import Candidates
-from lentilmount.control.leasedata import (
+from lentilmount.control.election import LEASE_SECONDS, POLL_SECONDS
+from lentilmount.control.lease_data import (
     REMAINING,
     LeaseData,
     decode,
@@ -37,18 +37,18 @@
     WAIT_SECONDS,
     Daemon,
     Scene,
-    make_campaign,
+    make_election,
     open_gated_table,
     open_scene,
 )
-from tests.test_giving_up import HOST, OWNER_ROW
-from tests.test_handovers import (
+from tests.test_inherited_leases import (
     DAEMONS,
     JOB,
     TENURE_SECONDS,
     find_owner,
     make_placed,
 )
+from tests.test_service_release import HOST, OWNER_ROW
 from tests.test_worker_session import IgnoringListener
 
 WORKER_LEASE_SECONDS = 6.0
@@ -217,14 +217,14 @@
             store.write(OWNER_ROW, orjson.dumps(['before', body]))
             candidates = Candidates(HOST)
             candidates.update({}, True)
-            campaign = make_campaign(table, candidates)
-            running = asyncio.create_task(campaign.run())
+            election = make_election(table, candidates)
+            running = asyncio.create_task(election.run())
             row = body
             async with asyncio.timeout(WAIT_SECONDS):
                 while row['holder'] == 'host-2.b':
                     await asyncio.sleep(0.01)
                     row = orjson.loads(store.rows[OWNER_ROW].value or b'')[1]
-            campaign.stop()
+            election.stop()
             await running
             return row
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -74,16 +74,16 @@
     rows = [make_announcement('b:1', 'north', other), {'address': 'old:1'}]
     candidates.update(read_capacities(rows), True)
     assert candidates.list_larger() == (['b:1'] if is_larger else [])
-    assert candidates.may_be_outranked is is_larger
+    assert candidates.may_have_larger is is_larger
 
 
 def test_a_host_that_knows_no_others_yet_expects_larger_ones() -> None:
     candidates = Candidates(LARGE_HOST)
-    assert candidates.may_be_outranked
+    assert candidates.may_have_larger
     candidates.update({}, False)
-    assert candidates.may_be_outranked
+    assert candidates.may_have_larger
     candidates.update({}, True)
-    assert not candidates.may_be_outranked
+    assert not candidates.may_have_larger
 
 
 def test_a_deferred_lease_is_left_to_others_for_a_while_only() -> None:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.campaign import is_same_host, make_name
+from lentilmount.control.election import is_same_host, make_name
 from lentilmount.control.routes import RouteTable
 from lentilmount.coordination.leases import (
     Lease,
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lentilmount.clock import SystemClock
-from lentilmount.control import intake as intakes
-from lentilmount.control.intake import Intake
+from lentilmount.control import job_loader as job_loader_module
+from lentilmount.control.job_loader import JobLoader
 from lentilmount.control.keys import make_state_key
 from lentilmount.coordination.table import ABSENT, Put
 from lentilmount.coordination.transactions import make_token
@@ -29,7 +29,7 @@
 )
 from tests.helpers import run
 from tests.platform_scene import open_table
-from tests.test_intake import submit
+from tests.test_job_loader import submit
 
 
 def test_any_number_of_takeovers_raises_the_next_run_by_one_margin() -> None:
@@ -87,7 +87,7 @@
         restored += 1
         restore(*args)
 
-    monkeypatch.setattr(intakes, 'restore_state', count)
+    monkeypatch.setattr(job_loader_module, 'restore_state', count)
 
     async def play() -> int:
         async with open_table() as (_, table):
@@ -100,7 +100,7 @@
                     ABSENT,
                 )
                 await table.transact(make_token(), [put])
-            intake = Intake(
+            job_loader = JobLoader(
                 'desk',
                 table,
                 ClusterState(),
@@ -108,7 +108,7 @@
                 lambda job_id: None,
                 lambda: None,
             )
-            loading = asyncio.create_task(intake.load(1.0))
+            loading = asyncio.create_task(job_loader.load(1.0))
             seen = [0]
             while not loading.done():
                 await asyncio.sleep(0)
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -31,7 +31,7 @@
         cluster.end_run(task, EndKind.DONE, 2.0)
         watches.append(weakref.ref(task))
     retention = Retention('desk', cluster, 1.0)
-    old = retention.list_old(100.0)
+    old = retention.list_expired(100.0)
     assert [job.spec.id for job in old] == ['a']
     retention.forget(old)
     return watches
--- a/tests/test_giving_up.py
+++ b/tests/test_service_release.py
@@ -15,7 +15,7 @@
 from lentilmount.platform.store import Changes, PlatformTable
 from stand_ins.rowstore import RowStore
 from tests.helpers import run
-from tests.platform_scene import SERVICE, make_campaign, open_store
+from tests.platform_scene import SERVICE, make_election, open_store
 
 WAIT_SECONDS = 10.0
 HOST = Capacity(2.1, 100.0)
@@ -79,10 +79,10 @@
         table.is_silent = is_reading
         candidates = Candidates(HOST)
         candidates.update({}, True)
-        campaign = make_campaign(table, candidates)
-        running = asyncio.create_task(campaign.run())
+        election = make_election(table, candidates)
+        running = asyncio.create_task(election.run())
         await _wait_for_write(table, store, is_held)
-        campaign.stop()
+        election.stop()
         async with asyncio.timeout(WAIT_SECONDS):
             await running
             while table.in_flight:
@@ -119,10 +119,10 @@
             table.is_silent = True
             candidates = Candidates(HOST)
             candidates.update({}, True)
-            campaign = make_campaign(table, candidates)
-            running = asyncio.create_task(campaign.run())
+            election = make_election(table, candidates)
+            running = asyncio.create_task(election.run())
             await _wait_for_write(table, store, is_held=True)
-            campaign.stop()
+            election.stop()
             async with asyncio.timeout(WAIT_SECONDS):
                 await running
             released = orjson.loads(store.rows[OWNER_ROW].value or b'')[1]
--- a/tests/test_commits.py
+++ b/tests/test_state_writer.py
@@ -10,10 +10,10 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import commits as commits_module
-from lentilmount.control.commits import COMMIT_ROWS, Commits
-from lentilmount.control.leasedata import has_unrecorded_starts
+from lentilmount.control import state_writer as state_writer_module
+from lentilmount.control.lease_data import has_unrecorded_starts
 from lentilmount.control.retention import Retention
+from lentilmount.control.state_writer import COMMIT_ROWS, StateWriter
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import Lease, LeaseKeeper
 from lentilmount.coordination.table import Key, Operation, Put
@@ -68,8 +68,8 @@
     cluster: ClusterState,
     sessions: dict[str, WorkerSession],
     send: Callable[[Task], None],
-) -> Commits:
-    return Commits(
+) -> StateWriter:
+    return StateWriter(
         'desk',
         table,
         keeper,
@@ -94,13 +94,13 @@
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
         cluster = ClusterState()
-        commits = _make_commits(table, keeper, lease, cluster, {}, print)
+        state_writer = _make_commits(table, keeper, lease, cluster, {}, print)
         job = admit(cluster, make_job('a'))
         with logbook.TestHandler() as handler:
-            running = asyncio.create_task(commits.run())
+            running = asyncio.create_task(state_writer.run())
             for _ in range(2):
                 cluster.finish_job(job, JobState.FAILED, 7.5)
-                commits.note_change()
+                state_writer.note_change()
                 while cluster.dirty:
                     await asyncio.sleep(0.01)
             running.cancel()
@@ -127,15 +127,17 @@
         admit(cluster, make_job('a', make_step(count=2)))
         first, second = (find_task(cluster, 'a', 0, n) for n in range(2))
         sent: list[Task] = []
-        commits = _make_commits(table, keeper, lease, cluster, {}, sent.append)
+        state_writer = _make_commits(
+            table, keeper, lease, cluster, {}, sent.append
+        )
         slow.gate.clear()
         slow.begun.clear()
         cluster.place([first], worker, 1.0)
-        commits.add_start(first)
-        running = asyncio.create_task(commits.run())
+        state_writer.add_start(first)
+        running = asyncio.create_task(state_writer.run())
         await slow.begun.wait()
         cluster.place([second], worker, 1.0)
-        commits.add_start(second)
+        state_writer.add_start(second)
         slow.begun.clear()
         slow.gate.set()
         while not sent:
@@ -168,7 +170,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On a busy owner no end was acknowledged, and next steps began late."""
-    monkeypatch.setattr(commits_module, 'COMMIT_SECONDS', 0.0)
+    monkeypatch.setattr(state_writer_module, 'COMMIT_SECONDS', 0.0)
 
     async def play() -> None:
         table = cast(PlatformTable, _BusyTable())
@@ -188,11 +190,13 @@
         )
         session.received_end = 7
         sessions = {'w': session}
-        commits = _make_commits(table, keeper, lease, cluster, sessions, print)
-        commits.note_change()
-        running = asyncio.create_task(commits.run())
+        state_writer = _make_commits(
+            table, keeper, lease, cluster, sessions, print
+        )
+        state_writer.note_change()
+        running = asyncio.create_task(state_writer.run())
         while busy.version < WRITES and not session.written_end:
-            commits.note_change()
+            state_writer.note_change()
             await asyncio.sleep(0)
         running.cancel()
         assert session.written_end == 7
@@ -218,20 +222,20 @@
             worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
         )
         session.received_end = 7
-        commits = _make_commits(
+        state_writer = _make_commits(
             table, keeper, lease, cluster, {'w': session}, print
         )
         slow.gate.clear()
         slow.begun.clear()
-        commits.note_change()
-        running = asyncio.create_task(commits.run())
+        state_writer.note_change()
+        running = asyncio.create_task(state_writer.run())
         await slow.begun.wait()
         session.restart('it restarted')
         session.end_written.clear()
         slow.gate.set()
         version = slow.version
         while slow.version < version + 2:
-            commits.note_change()
+            state_writer.note_change()
             await asyncio.sleep(0.001)
         running.cancel()
         return session.written_end
@@ -251,15 +255,15 @@
         assert lease is not None
         cluster = ClusterState()
         worker = add_worker(cluster, 'w', capacity=Room(999.0, 999_000))
-        commits = _make_commits(table, keeper, lease, cluster, {}, print)
+        state_writer = _make_commits(table, keeper, lease, cluster, {}, print)
         for number in range(COMMIT_ROWS + 1):
             admit(cluster, make_job(f'job-{number}'))
             task = find_task(cluster, f'job-{number}')
             cluster.place([task], worker, 1.0)
-            commits.add_start(task)
-        commits.send_unrecorded()
+            state_writer.add_start(task)
+        state_writer.send_unrecorded()
         told: list[bool] = []
-        running = asyncio.create_task(commits.run())
+        running = asyncio.create_task(state_writer.run())
         while len(told) < 2:
             version = slow.version
             while slow.version == version:
@@ -281,17 +285,19 @@
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
         cluster, sent = ClusterState(), cast(list[Task], [])
-        commits = _make_commits(table, keeper, lease, cluster, {}, sent.append)
+        state_writer = _make_commits(
+            table, keeper, lease, cluster, {}, sent.append
+        )
         worker = add_worker(cluster, 'w')
         admit(cluster, make_job('a'))
         first = find_task(cluster, 'a')
         slow.gate.clear()
         slow.begun.clear()
         cluster.place([first], worker, 1.0)
-        commits.add_start(first)
-        running = asyncio.create_task(commits.run())
+        state_writer.add_start(first)
+        running = asyncio.create_task(state_writer.run())
         await slow.begun.wait()
-        commits.send_unrecorded()
+        state_writer.send_unrecorded()
         running.cancel()
         assert sent == [first]
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lentilmount.clock import SystemClock
-from lentilmount.control import commits, takeover
+from lentilmount.control import state_writer, takeover
 from lentilmount.control.keys import make_owner_key
 from lentilmount.control.metrics import ControlMetrics
 from lentilmount.control.owner import Owner, OwnerSettings
@@ -145,7 +145,7 @@
             store.write(address, taken)
             async with asyncio.timeout(WAIT_SECONDS):
                 await owner.run()
-            return owner.lost
+            return owner.lost_reason
 
     assert 'took the lease' in run(play())
 
@@ -154,7 +154,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A stop while reading waited for a writer that never began."""
-    monkeypatch.setattr(commits, 'SETTLE_SECONDS', 1e9)
+    monkeypatch.setattr(state_writer, 'SETTLE_SECONDS', 1e9)
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -10,7 +10,7 @@
 import attrs
 
 from lentilmount.clock import ManualClock
-from lentilmount.control.owner import PROMISE_SECONDS
+from lentilmount.control.owner import RENEW_WITHOUT_STORE_SECONDS
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import (
@@ -210,11 +210,11 @@
 
     async def play() -> None:
         async with asyncio.TaskGroup() as group:
-            pending = open_pending(group, PROMISE_SECONDS)
+            pending = open_pending(group, RENEW_WITHOUT_STORE_SECONDS)
             while len(pending.calls.ends) < 8:
                 await asyncio.sleep(0.01)
             pending.session.restart('the end of the test')
-        last = CLOCK_MS + 1000 * (PROMISE_SECONDS + LEASE_SECONDS)
+        last = CLOCK_MS + 1000 * (RENEW_WITHOUT_STORE_SECONDS + LEASE_SECONDS)
         assert max(pending.calls.ends) <= last
 
     run(play())
