--- a/benchmarks/fakes.py
+++ b/benchmarks/fakes.py
@@ -71,7 +71,7 @@
         self._deployment = deployment
         self._number = number
         self._lag = lag
-        self._chance = random.Random(f'{seed}/{deployment.name}/{number}')
+        self._rng = random.Random(f'{seed}/{deployment.name}/{number}')
         self._noise = random.Random(f'{seed}/{number}/noise')
         self._recent: collections.deque[float] = collections.deque(
             maxlen=WINDOW_SECONDS
@@ -113,7 +113,7 @@
         median = self._deployment.base_ms * (1 + 0.3 * load) / P99_FACTOR
         self._recent.append(factor)
         for _ in range(REQUESTS_A_SECOND):
-            spread = self._chance.lognormvariate(0, SPREAD)
+            spread = self._rng.lognormvariate(0, SPREAD)
             self.times.append(median * factor * spread)
 
     def _measure(self, now: float, load: float) -> None:
--- a/benchmarks/loads.py
+++ b/benchmarks/loads.py
@@ -121,27 +121,27 @@
 
 def make_jobs(deployment: Deployment, seconds: float, seed: int) -> list[Job]:
     """Returns the jobs that arrive, in order, with waves of the noisiest."""
-    chance = random.Random(f'{seed}/{deployment.name}/jobs')
+    rng = random.Random(f'{seed}/{deployment.name}/jobs')
     jobs: list[Job] = []
     weights = [kind.weight for kind in deployment.classes]
     at = 0.0
     next_wave = WAVE_SECONDS / 2
     while at < seconds:
-        at += chance.expovariate(ARRIVALS_A_WORKER * deployment.workers)
-        (kind,) = chance.choices(deployment.classes, weights)
-        jobs.append(_make_job(len(jobs), at, kind, chance))
+        at += rng.expovariate(ARRIVALS_A_WORKER * deployment.workers)
+        (kind,) = rng.choices(deployment.classes, weights)
+        jobs.append(_make_job(len(jobs), at, kind, rng))
         if at >= next_wave:
             next_wave += WAVE_SECONDS
             for _ in range(WAVE_JOBS):
                 wave = deployment.noisiest
-                jobs.append(_make_job(len(jobs), at, wave, chance))
+                jobs.append(_make_job(len(jobs), at, wave, rng))
     return jobs
 
 
 def _make_job(
-    number: int, at: float, kind: JobClass, chance: random.Random
+    number: int, at: float, kind: JobClass, rng: random.Random
 ) -> Job:
-    seconds = kind.seconds * chance.lognormvariate(0, 0.4)
+    seconds = kind.seconds * rng.lognormvariate(0, 0.4)
     return Job(at, f'{kind.name}-{number:05d}', kind, seconds)
 
 
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -18,7 +18,7 @@
 
 from lentilmount.clock import HybridClock, SystemClock
 from lentilmount.coordination.membership import Member, Membership
-from lentilmount.coordination.mesh import choose_partners
+from lentilmount.coordination.mesh import choose_peers
 from lentilmount.daemon.heartbeats import Courier, News, converse
 from lentilmount.wire import peer_grpc, peer_pb2
 
@@ -79,7 +79,7 @@
 
     async def beat(self) -> None:
         while True:
-            self.membership.beat()
+            self.membership.advance_beat()
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def change(self, slice_name: str, per_second: float) -> None:
@@ -156,7 +156,7 @@
         used / share,
         sum(c.sent_bytes for c in counts) / share,
         max(c.sent_bytes + c.received_bytes for c in counts) / seconds,
-        min(len(node.membership.list_up()) for node in nodes.values()),
+        min(len(node.membership.list_active()) for node in nodes.values()),
     )
 
 
@@ -168,7 +168,7 @@
     return [
         (name, partner.name)
         for name, node in nodes.items()
-        for partner in choose_partners(node.membership, ZONE_LINKS)
+        for partner in choose_peers(node.membership, ZONE_LINKS)
         if name < partner.name
     ]
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -86,7 +86,7 @@
     """A cluster that is as full as in service."""
 
     def __init__(self, workers: int):
-        self.chance = random.Random(f'{SEED}/{workers}')
+        self.rng = random.Random(f'{SEED}/{workers}')
         self.clock = ManualClock()
         self.rows = MemorySlice()
         part = workers / WORKERS
@@ -136,15 +136,15 @@
     def make_job(self, urgency: Urgency = Urgency.BATCH) -> Task:
         """Makes a job of a random size."""
         self._count += 1
-        team = self.chance.randrange(TEAMS)
+        team = self.rng.randrange(TEAMS)
         return Task(
             f'Job/team-{team}/job-{self._count}/0',
             Demand(
-                self.chance.choice((0.5, 1.0, 1.0, 2.0, 4.0)),
-                self.chance.choice((1000, 2000, 4000, 8000)),
-                self.chance.choice((0,) * 9 + (1,)),
+                self.rng.choice((0.5, 1.0, 1.0, 2.0, 4.0)),
+                self.rng.choice((1000, 2000, 4000, 8000)),
+                self.rng.choice((0,) * 9 + (1,)),
             ),
-            job_class=f'class-{self.chance.randrange(5)}',
+            job_class=f'class-{self.rng.randrange(5)}',
             urgency=urgency,
             accepted=float(self._count),
         )
@@ -167,10 +167,10 @@
     def end_one(self) -> None:
         """Lets a random job end."""
         while True:
-            record = self.chance.choice(list(self.rows.workers.values()))
+            record = self.rng.choice(list(self.rows.workers.values()))
             jobs = [n for n in record.commitments if n.startswith('Job/')]
             if jobs:
-                name = self.chance.choice(jobs).rpartition('#')[0]
+                name = self.rng.choice(jobs).rpartition('#')[0]
                 draft = self.rows.begin()
                 draft.move(self.rows.tasks[name], Move.FINISH)
                 self.rows.apply(draft)
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -95,7 +95,7 @@
         self._options = options
         self._slices_per_zone = slices_per_zone
         self._monotonic = monotonic
-        me = membership.me
+        me = membership.local_member
         self._keeper = LeaseKeeper(
             table,
             f'{me.name}/{me.incarnation}',
--- a/lentilmount/batch/preference.py
+++ b/lentilmount/batch/preference.py
@@ -69,17 +69,17 @@
         return (
             membership.list_eligible(zone)
             or membership.list_eligible()
-            or membership.list_up(zone)
+            or membership.list_active(zone)
         )
 
     def is_first(self, slice_name: str) -> bool:
         """Tells whether this daemon should own a slice."""
         candidates = self.list_candidates(slice_name)
-        return candidates[:1] == [self._membership.me.name]
+        return candidates[:1] == [self._membership.local_member.name]
 
     def is_candidate(self, slice_name: str) -> bool:
         """Tells whether this daemon may own a slice at all."""
-        name = self._membership.me.name
+        name = self._membership.local_member.name
         return name in self.list_candidates(slice_name)
 
     def should_try(self, slice_name: str) -> bool:
@@ -92,7 +92,7 @@
         Call it each time that nobody was seen to renew the slice's lease.
         """
         candidates = self.list_candidates(slice_name)
-        name = self._membership.me.name
+        name = self._membership.local_member.name
         if name not in candidates:
             self._free_since.pop(slice_name, None)
             return False
@@ -112,7 +112,7 @@
         a daemon that comes and goes does not pull slices to and fro.
         """
         first = (self.list_candidates(slice_name) or [''])[0]
-        if first in ('', self._membership.me.name):
+        if first in ('', self._membership.local_member.name):
             self._other_since.pop(slice_name, None)
             return False
         now = self._monotonic()
--- a/lentilmount/control/election.py
+++ b/lentilmount/control/election.py
@@ -27,7 +27,7 @@
     CLOCK_DRIFT,
     Lease,
     LeaseKeeper,
-    Told,
+    LeaseRecord,
 )
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.advice import AdviceCalls
@@ -160,7 +160,9 @@
         """
         return is_same_host(self.name, holder)
 
-    def _take_data(self, keeper: LeaseKeeper, told: Told) -> dict[str, Any]:
+    def _take_data(
+        self, keeper: LeaseKeeper, told: LeaseRecord
+    ) -> dict[str, Any]:
         """Takes in what the row told; returns what it tells until we write.
 
         What a release told of all workers is dropped from the row: kept, their
@@ -168,7 +170,9 @@
         """
         data = decode(told.data, told.epoch)
         is_held = told.holder != ''
-        is_seen = keeper.has_seen_writes(make_owner_key(self.settings.service))
+        is_seen = keeper.has_observed_last_write(
+            make_owner_key(self.settings.service)
+        )
         self._are_all_recorded = not data.has_unrecorded_starts and (
             is_seen or told.epoch == 0
         )
--- a/lentilmount/coordination/leases.py
+++ b/lentilmount/coordination/leases.py
@@ -26,7 +26,7 @@
 )
 from lentilmount.coordination.transactions import commit, make_token
 
-IsGone = Callable[[str], bool]
+HasEnded = Callable[[str], bool]
 """Whether the process that a holder's name belongs to has surely ended."""
 
 
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Told:
+class LeaseRecord:
     """What a lease's row told before the lease was taken.
 
     Attributes:
@@ -55,13 +55,13 @@
     seen_at: float
 
 
-Amend = Callable[[Told], dict[str, Any]]
+UpdateData = Callable[[LeaseRecord], dict[str, Any]]
 """Makes a lease's data at a takeover from what the row told."""
 
 
-def keep_data(told: Told) -> dict[str, Any]:
+def copy_data(record: LeaseRecord) -> dict[str, Any]:
     """Leaves a lease's data as they are."""
-    return dict(told.data)
+    return dict(record.data)
 
 
 @attrs.frozen
@@ -116,7 +116,7 @@
       holder: A name no other process ever has (name and incarnation).
       duration: Seconds a lease is good for without renewal.
       monotonic: The clock for durations.
-      is_gone: Tells of other holders whether their processes have ended;
+      has_ended: Tells of other holders whether their processes have ended;
         their leases need not be waited for.
     """
 
@@ -126,18 +126,18 @@
         holder: str,
         duration: float,
         monotonic: Callable[[], float],
-        is_gone: IsGone = lambda holder: False,
+        has_ended: HasEnded = lambda holder: False,
     ):
         self._table = table
         self._holder = holder
         self._duration = duration
         self._monotonic = monotonic
-        self._is_gone = is_gone
+        self._has_ended = has_ended
         self._seen: dict[Key, tuple[int, float]] = {}
         self._renewed: set[Key] = set()
 
     async def try_acquire(
-        self, key: Key, amend: Amend = keep_data, defer: float = 0.0
+        self, key: Key, update_data: UpdateData = copy_data, delay: float = 0.0
     ) -> Lease | None:
         """Takes a lease if it is free or surely lapsed.
 
@@ -146,9 +146,10 @@
 
         Args:
           key: The lease's row.
-          amend: Gives the row's data after the takeover from those before;
-            what others must know of a holder has to be in its first write.
-          defer: Seconds for which a free lease is left to others.
+          update_data: Gives the row's data after the takeover from those
+            before; what others must know of a holder has to be in its first
+            write.
+          delay: Seconds for which a free lease is left to others.
 
         Returns:
           The lease, or None where another holds it.
@@ -165,17 +166,17 @@
             self._seen.pop(key, None)
             self._renewed.discard(key)
             raise
-        return await self.try_take(key, rows.get(key), amend, defer)
+        return await self.try_take(key, rows.get(key), update_data, delay)
 
     async def try_take(
         self,
         key: Key,
         row: Row | None,
-        amend: Amend = keep_data,
-        defer: float = 0.0,
+        update_data: UpdateData = copy_data,
+        delay: float = 0.0,
     ) -> Lease | None:
         """Takes a lease whose row was just read; see `try_acquire`."""
-        if not self._is_free(key, row, defer):
+        if not self._is_free(key, row, delay):
             return None
         lease = Lease(
             key=key,
@@ -184,7 +185,7 @@
             version=row.version if row else ABSENT,
             renewed_at=0.0,
             valid_until=0.0,
-            data=amend(self._read_told(key, row)),
+            data=update_data(self._read_record(key, row)),
         )
         try:
             await self.renew(lease)
@@ -192,19 +193,19 @@
             return None
         return lease
 
-    def _read_told(self, key: Key, row: Row | None) -> Told:
+    def _read_record(self, key: Key, row: Row | None) -> LeaseRecord:
         now = self._monotonic()
         if row is None:
-            return Told({}, '', 0, now)
+            return LeaseRecord({}, '', 0, now)
         version, seen_at = self._seen.get(key, (ABSENT, now))
-        return Told(
+        return LeaseRecord(
             row.body['data'],
             row.body['holder'],
             row.body['epoch'],
             seen_at if version == row.version else now,
         )
 
-    def has_seen_writes(self, key: Key) -> bool:
+    def has_observed_last_write(self, key: Key) -> bool:
         """Tells whether the last holder's writes were followed to the end.
 
         It is so if the holder gave the lease up, or was seen to renew it with
@@ -213,14 +214,14 @@
         """
         return key in self._renewed
 
-    def _is_free(self, key: Key, row: Row | None, defer: float) -> bool:
+    def _is_free(self, key: Key, row: Row | None, delay: float) -> bool:
         holder = row.body['holder'] if row is not None else ''
         if row is not None and holder in ('', self._holder):
             self._renewed.add(key)
-        is_ours = holder in ('', self._holder) or self._is_gone(holder)
-        if is_ours and not defer:
+        is_ours = holder in ('', self._holder) or self._has_ended(holder)
+        if is_ours and not delay:
             return True
-        wait = defer
+        wait = delay
         if holder:
             wait += self._duration * (1 + CLOCK_DRIFT)
         return self._measure_rest(key, row) > wait
--- a/lentilmount/coordination/membership.py
+++ b/lentilmount/coordination/membership.py
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen
-class Beat:
+class MemberUpdate:
     """What changes of a member within one incarnation.
 
     Attributes:
@@ -94,26 +94,26 @@
     is decided by leases; it only decides who tries first.
 
     Args:
-      me: This process.
+      local_member: This process.
       silence: Seconds without news after which a member counts as down.
       monotonic: The clock for durations.
       forget: Seconds without news after which a member is forgotten.
 
     Attributes:
-      me: This process as it describes itself.
-      rival: Newer news under this process's own name, or None.
+      local_member: This process as it describes itself.
+      name_conflict: Newer news under this process's own name, or None.
     """
 
     def __init__(
         self,
-        me: Member,
-        silence: float,
+        local_member: Member,
+        timeout: float,
         monotonic: Callable[[], float],
         forget: float = 60.0,
     ):
-        self.me = me
-        self.rival: Member | None = None
-        self._silence = silence
+        self.local_member = local_member
+        self.name_conflict: Member | None = None
+        self._timeout = timeout
         self._forget = forget
         self._monotonic = monotonic
         self._members: dict[str, Member] = {}
@@ -126,30 +126,34 @@
             collections.OrderedDict()
         )
 
-    def beat(self) -> Member:
+    def advance_beat(self) -> Member:
         """Raises this process's own beat."""
-        self.me = attrs.evolve(self.me, beat=self.me.beat + 1)
-        return self.me
+        self.local_member = attrs.evolve(
+            self.local_member, beat=self.local_member.beat + 1
+        )
+        return self.local_member
 
     def stop(self) -> None:
         """Marks this process as shutting down."""
-        self.me = attrs.evolve(self.me, stopping=True)
+        self.local_member = attrs.evolve(self.local_member, stopping=True)
 
     def set_eligible(self, eligible: bool) -> None:
         """Marks whether this process may own leases."""
-        self.me = attrs.evolve(self.me, eligible=eligible)
+        self.local_member = attrs.evolve(self.local_member, eligible=eligible)
 
-    def outlive(self, incarnation: int) -> None:
+    def raise_incarnation_above(self, incarnation: int) -> None:
         """Raises this process's incarnation above that of a predecessor.
 
         A replacement whose clock is behind starts below the incarnation of
         the process that it replaces; its news would be taken for old.
         """
-        if incarnation >= self.me.incarnation:
-            self.me = attrs.evolve(self.me, incarnation=incarnation + 1)
-        self.rival = None
+        if incarnation >= self.local_member.incarnation:
+            self.local_member = attrs.evolve(
+                self.local_member, incarnation=incarnation + 1
+            )
+        self.name_conflict = None
 
-    def meet(self, member: Member) -> None:
+    def observe_direct(self, member: Member) -> None:
         """Takes in what a member says of itself, straight."""
         self.observe([member], member.zone)
         self._straight[member.name] = self._monotonic()
@@ -167,7 +171,7 @@
                 self._via[member.name] = via
                 self._hear(member.name)
 
-    def advance(self, beats: Iterable[Beat], via: str = '') -> None:
+    def advance(self, beats: Iterable[MemberUpdate], via: str = '') -> None:
         """Takes in newer beats of members that are known; see `observe`."""
         for beat in beats:
             known = self._members.get(self._names.get(beat.id, ''))
@@ -181,29 +185,29 @@
             )
             self.observe([member], via)
 
-    def discover(self, members: Iterable[Member]) -> None:
+    def add_listed(self, members: Iterable[Member]) -> None:
         """Takes in names from a list; it says nothing of who is up."""
         for member in members:
             known = self._ages.get(member.name, (-1, 0))
             forgotten = member.name not in self._members
             newer = member.incarnation > known[0]
             current = forgotten and member.incarnation == known[0]
-            if member.name == self.me.name:
+            if member.name == self.local_member.name:
                 self._note_rival(member)
             elif newer or current:
                 self._set(member)
 
     def _is_news(self, member: Member) -> bool:
-        if member.name == self.me.name:
+        if member.name == self.local_member.name:
             self._note_rival(member)
             return False
         known = self._ages.get(member.name)
         return known is None or member.age > known
 
     def _note_rival(self, member: Member) -> None:
-        other = member.address != self.me.address
-        if other and member.incarnation >= self.me.incarnation:
-            self.rival = member
+        other = member.address != self.local_member.address
+        if other and member.incarnation >= self.local_member.incarnation:
+            self.name_conflict = member
 
     def _set(self, member: Member) -> None:
         old = self._members.get(member.name)
@@ -240,7 +244,7 @@
             if self._noted[member.name] < horizon:
                 self._remove(member)
 
-    def note_pause(self, seconds: float) -> None:
+    def compensate_pause(self, seconds: float) -> None:
         """Takes note that this process stood still.
 
         A process that stood still heard nobody. Without this it would take
@@ -257,48 +261,48 @@
 
     def is_up(self, name: str) -> bool:
         """Tells whether a member was heard of lately."""
-        if name == self.me.name:
+        if name == self.local_member.name:
             return True
         heard = self._heard.get(name)
         if heard is None:
             return False
-        near = self._members[name].zone == self.me.zone
-        silence = self._silence * (1.0 if near else FAR_FACTOR)
+        near = self._members[name].zone == self.local_member.zone
+        silence = self._timeout * (1.0 if near else FAR_FACTOR)
         return self._monotonic() - heard <= silence
 
-    def list_heard(self) -> list[Member]:
+    def list_alive(self) -> list[Member]:
         """Returns the other members that are up, those that stop as well."""
-        now, zone = self._monotonic(), self.me.zone
-        near = now - self._silence
-        far = now - self._silence * FAR_FACTOR
+        now, zone = self._monotonic(), self.local_member.zone
+        near = now - self._timeout
+        far = now - self._timeout * FAR_FACTOR
         return [
             self._members[name]
             for name, heard in self._heard.items()
             if heard >= (near if self._members[name].zone == zone else far)
         ]
 
-    def list_missing(self) -> list[Member]:
+    def list_not_heard_directly(self) -> list[Member]:
         """Returns the members of this zone that are not heard straight."""
-        horizon = self._monotonic() - self._silence * MISSING_SHARE
+        horizon = self._monotonic() - self._timeout * MISSING_SHARE
         return [
             member
             for name, member in self._members.items()
-            if member.zone == self.me.zone
+            if member.zone == self.local_member.zone
             and self._straight.get(name, horizon - 1.0) < horizon
         ]
 
-    def get_via(self, name: str) -> str:
+    def get_source_zone(self, name: str) -> str:
         """Returns the zone from which a member's newest beat came."""
         return self._via.get(name, '')
 
-    def list_up(self, zone: str = '') -> list[Member]:
+    def list_active(self, zone: str = '') -> list[Member]:
         """Returns members that are up and staying, this one included."""
         return [
             member
-            for member in (self.me, *self.list_heard())
+            for member in (self.local_member, *self.list_alive())
             if not member.stopping and (not zone or member.zone == zone)
         ]
 
     def list_eligible(self, zone: str = '') -> list[Member]:
-        """Returns the members of `list_up` that may own leases."""
-        return [member for member in self.list_up(zone) if member.eligible]
+        """Returns the members of `list_active` that may own leases."""
+        return [member for member in self.list_active(zone) if member.eligible]
--- a/lentilmount/coordination/mesh.py
+++ b/lentilmount/coordination/mesh.py
@@ -22,14 +22,14 @@
     )
 
 
-def choose_partners(membership: Membership, links: int) -> list[Member]:
+def choose_peers(membership: Membership, links: int) -> list[Member]:
     """Returns the members that this process keeps a stream with.
 
     Args:
       membership: What this process knows.
       links: How many streams join two zones.
     """
-    me = membership.me
+    me = membership.local_member
     known = membership.list_known()
     partners = [member for member in known if member.zone == me.zone]
     for zone in sorted({m.zone for m in known} - {me.zone}):
@@ -41,7 +41,7 @@
 def _choose_far(
     membership: Membership, there: Sequence[Member], links: int
 ) -> list[Member]:
-    me = membership.me
+    me = membership.local_member
     up = [member for member in there if membership.is_up(member.name)]
     if not up:
         # A zone of which nothing is heard may be cut off; whichever of its
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -178,7 +178,7 @@
 
     def _is_housekeeper(self) -> bool:
         names = [m.name for m in self.membership.list_eligible()]
-        return bool(names) and min(names) == self.membership.me.name
+        return bool(names) and min(names) == self.membership.local_member.name
 
     def _is_reader(self, slice_name: str) -> bool:
         owned = slice_name in self.manager.owners
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lentilmount.clock import HybridClock, Stamp
-from lentilmount.coordination.membership import Beat, Member, Membership
+from lentilmount.coordination.membership import Member, Membership, MemberUpdate
 from lentilmount.daemon.gossip import Gossip
 from lentilmount.routing.leaving import Mark
 from lentilmount.waiting import wait_with_timeout
@@ -85,8 +85,10 @@
     )
 
 
-def _read_beat(message: peer_pb2.MemberBeat) -> Beat:
-    return Beat(message.id, message.beat, message.stopping, message.eligible)
+def _read_beat(message: peer_pb2.MemberBeat) -> MemberUpdate:
+    return MemberUpdate(
+        message.id, message.beat, message.stopping, message.eligible
+    )
 
 
 @attrs.define
@@ -118,7 +120,7 @@
     missing: set[int] = attrs.Factory(set)
     marks: set[Mark] = attrs.Factory(set)
 
-    def hear(self, known: Iterable[Member | Beat]) -> None:
+    def hear(self, known: Iterable[Member | MemberUpdate]) -> None:
         """Takes note of what the other end knows."""
         for one in known:
             self.beats[one.id] = max(one.beat, self.beats.get(one.id, 0))
@@ -201,13 +203,15 @@
         news = self._get_news()
         stamp = self._hybrid.tick()
         message = peer_pb2.Heartbeat(
-            sender=write_member(self._membership.me),
+            sender=write_member(self._membership.local_member),
             revision=news.revision,
             stamp_millis=stamp.millis,
             stamp_counter=stamp.counter,
         )
         told.turn += 1
-        missing = [member.id for member in self._membership.list_missing()]
+        missing = [
+            member.id for member in self._membership.list_not_heard_directly()
+        ]
         message.missing.extend(missing)
         if is_urgent or told.missing or told.turn % WHOLE_EVERY == 1:
             self._add_others(message, told, news)
@@ -223,10 +227,10 @@
         def is_wanted(member: Member) -> bool:
             # Within a zone each talks to each, so what came from the other
             # end's zone it has from there, unless it says that it has not.
-            foreign = self._membership.get_via(member.name) != told.zone
+            foreign = self._membership.get_source_zone(member.name) != told.zone
             return foreign or member.id in told.missing
 
-        up = self._membership.list_heard()
+        up = self._membership.list_alive()
         new, old = told.take_members(up, is_wanted)
         message.members.extend(write_member(member) for member in new)
         message.beats.extend(_write_beat(member) for member in old)
@@ -245,7 +249,7 @@
         told.hear(members)
         told.hear(beats)
         told.missing = set(message.missing)
-        self._membership.meet(sender)
+        self._membership.observe_direct(sender)
         self._membership.observe(members, sender.zone)
         self._membership.advance(beats, sender.zone)
         self._hybrid.observe(Stamp(message.stamp_millis, message.stamp_counter))
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -85,7 +85,7 @@
             RouterOptions(settings.zone, settings.name, settings.entry_hosts),
             clock.monotonic,
             self.events,
-            count_daemons=lambda: len(self.membership.list_up()),
+            count_daemons=lambda: len(self.membership.list_active()),
         )
         self._drain = Drain(clock.monotonic)
         self.metrics = Metrics(self._read_gauges)
@@ -158,8 +158,8 @@
         await server.start(sock=bound, ssl=self.security.servers['peers'])
         stack.push_async_callback(server.wait_closed)
         stack.callback(server.close)
-        self.membership.me = attrs.evolve(
-            self.membership.me, address=self.addresses['peers']
+        self.membership.local_member = attrs.evolve(
+            self.membership.local_member, address=self.addresses['peers']
         )
         counter = AnswerCounter(self.metrics, self.configuration, self.events)
         listeners = (
@@ -222,7 +222,7 @@
             'revision': self.configuration.revision,
             'known_revision': self.configuration.known,
             'slices': len(owners),
-            'members': len(self.membership.list_up()),
+            'members': len(self.membership.list_active()),
             'in_flight': self._drain.in_flight,
         }
         return [
@@ -250,7 +250,7 @@
             'ready': not self.find_fault(),
             'fault': self.find_fault(),
             'slices': sorted(self.manager.owners),
-            'members': sorted(m.name for m in self.membership.list_up()),
+            'members': sorted(m.name for m in self.membership.list_active()),
             'in_flight': self._drain.in_flight,
             'addresses': self.addresses,
         }
--- a/lentilmount/daemon/peers.py
+++ b/lentilmount/daemon/peers.py
@@ -19,7 +19,7 @@
 from lentilmount.clock import Stamp
 from lentilmount.codec import encode
 from lentilmount.coordination.membership import Member, Membership
-from lentilmount.coordination.mesh import choose_partners
+from lentilmount.coordination.mesh import choose_peers
 from lentilmount.daemon.gossip import Gossip
 from lentilmount.daemon.heartbeats import Courier, News, converse
 from lentilmount.events import EventKind, EventLog
@@ -111,7 +111,7 @@
         async with asyncio.TaskGroup() as group:
             dialling: dict[str, asyncio.Task[None]] = {}
             while True:
-                self._membership.beat()
+                self._membership.advance_beat()
                 wanted = self._list_wanted()
                 for address in wanted - dialling.keys():
                     dialling[address] = group.create_task(self._dial(address))
@@ -126,10 +126,10 @@
     def _note_pause(self, seconds: float) -> None:
         if seconds > self._options.heartbeat_seconds:
             log.warning('This daemon stood still for {:.1f} s.', seconds)
-            self._membership.note_pause(seconds)
+            self._membership.compensate_pause(seconds)
 
     def _list_wanted(self) -> set[str]:
-        partners = choose_partners(self._membership, self._options.links)
+        partners = choose_peers(self._membership, self._options.links)
         wanted = {m.address for m in partners if self._is_caller(m)}
         known = self._membership.list_known()
         up = {m.address for m in known if self._membership.is_up(m.name)}
@@ -137,10 +137,10 @@
         # after a cut in which all daemons were replaced, and with the table
         # down, seeds are the only way back.
         wanted |= set(self._options.seeds) - up
-        return wanted - {self._membership.me.address, ''}
+        return wanted - {self._membership.local_member.address, ''}
 
     def _is_caller(self, member: Member) -> bool:
-        if self._membership.me.name < member.name:
+        if self._membership.local_member.name < member.name:
             return True
         if self._incoming[member.name]:
             self._missing_since.pop(member.name, None)
@@ -227,7 +227,7 @@
 
     def _push(self) -> None:
         urgent, self._urgent = self._urgent, asyncio.Event()
-        self._membership.beat()
+        self._membership.advance_beat()
         urgent.set()
 
     def _make_channel(self, address: str) -> Channel:
@@ -246,11 +246,11 @@
 
     async def wake_owner(self, slice_name: str, zone: str) -> None:
         """Tells the peers of a zone that a slice has something new."""
-        members = self._membership.list_up(zone)
-        names = {self._membership.me.name}
+        members = self._membership.list_active(zone)
+        names = {self._membership.local_member.name}
         calls = [
             self._wake(member.address, slice_name)
-            for member in members or self._membership.list_up()
+            for member in members or self._membership.list_active()
             if member.name not in names
         ]
         await asyncio.gather(*calls)
--- a/lentilmount/daemon/registry.py
+++ b/lentilmount/daemon/registry.py
@@ -83,7 +83,7 @@
                 await self.look()
             except UnavailableError:
                 log.debug('The member rows cannot be read.')
-            others = len(self._membership.list_up()) > 1
+            others = len(self._membership.list_active()) > 1
             pause = self._look_seconds if others else 1.0
             pause = min(pause, self._look_seconds)
             await asyncio.sleep(pause * random.uniform(*JITTER))
@@ -97,19 +97,21 @@
         rows = {
             row.key.sort: row for row in await scan_all(self._table, MEMBERS)
         }
-        await self._keep(rows.get(self._membership.me.name))
-        self._membership.discover(Member(**r.body) for r in rows.values())
+        await self._keep(rows.get(self._membership.local_member.name))
+        self._membership.add_listed(Member(**r.body) for r in rows.values())
         self._rounds += 1
         for row in rows.values():
             await self._prune(row)
 
     async def _keep(self, row: Row | None) -> None:
-        me = self._membership.me
+        me = self._membership.local_member
         if not self._announced:
             # The last one started under a name has it: a predecessor that
             # was only paused finds its row changed when it wakes.
             if row is not None:
-                self._membership.outlive(row.body['incarnation'])
+                self._membership.raise_incarnation_above(
+                    row.body['incarnation']
+                )
             await self._write(row.version if row else ABSENT)
             self._announced = True
             return
@@ -121,15 +123,15 @@
                 log.error('Another daemon has the name {}.', me.name)
             self.replaced = True
             return
-        rival = self._membership.rival
+        rival = self._membership.name_conflict
         if rival is not None:
             # The row is still ours, so the rival is the older one.
-            self._membership.outlive(rival.incarnation)
+            self._membership.raise_incarnation_above(rival.incarnation)
         if row is None or rival or self._rounds % REFRESH_ROUNDS == 0:
             await self._write(self._version if row else ABSENT)
 
     async def _write(self, version: int) -> None:
-        me = self._membership.me
+        me = self._membership.local_member
         key = Key(MEMBERS, me.name)
         try:
             await commit(
@@ -147,7 +149,9 @@
             self._seen[name] = _Seen(row.version)
             return
         seen.rounds += 1
-        if name == self._membership.me.name or self._membership.is_up(name):
+        if name == self._membership.local_member.name or self._membership.is_up(
+            name
+        ):
             return
         if seen.rounds >= STALE_ROUNDS:
             del self._seen[name]
--- a/lentilmount/routing/balance.py
+++ b/lentilmount/routing/balance.py
@@ -50,8 +50,8 @@
 class PowerOfTwo:
     """The cheaper of two random open upstreams, by expected time."""
 
-    def __init__(self, chance: random.Random):
-        self._chance = chance
+    def __init__(self, rng: random.Random):
+        self._rng = rng
 
     def choose(
         self,
@@ -61,11 +61,11 @@
         now: float,
     ) -> Target | None:
         """See `Balancer`."""
-        chance = self._chance.random
+        rng = self._rng.random
         count = len(targets)
         first: Target | None = None
         for _ in range(PROBES if count > 1 else 0):
-            target = targets[int(chance() * count)]
+            target = targets[int(rng() * count)]
             if target is first or not self._is_usable(target, tried, now):
                 continue
             if first is not None:
@@ -74,7 +74,7 @@
         usable = [t for t in targets if self._is_usable(t, tried, now)]
         if len(usable) < 2:
             return usable[0] if usable else None
-        one, other = self._chance.sample(usable, 2)
+        one, other = self._rng.sample(usable, 2)
         return get_better(one, other, unknown, now)
 
     def _is_usable(self, target: Target, tried: Names, now: float) -> bool:
@@ -82,7 +82,7 @@
             return False
         if target.health.state is State.SERVING:
             return True
-        return self._chance.random() < target.health.get_share(now)
+        return self._rng.random() < target.health.get_share(now)
 
 
 def get_better(
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -77,11 +77,11 @@
             return 0.0
         return max(FIRST_SHARE, 1.0 - (self.until - now) / RETURN_SECONDS)
 
-    def eject(self, now: float, chance: random.Random) -> None:
+    def eject(self, now: float, rng: random.Random) -> None:
         """Ejects, for longer each time."""
         seconds = min(MOST_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
         # Daemons that ejected together would also come back together.
-        seconds *= chance.uniform(1 - JITTER, 1 + JITTER)
+        seconds *= rng.uniform(1 - JITTER, 1 + JITTER)
         self.state = State.EJECTED
         self.until = now + seconds
         self.ejections += 1
--- a/lentilmount/routing/pool.py
+++ b/lentilmount/routing/pool.py
@@ -61,7 +61,7 @@
         options: PoolOptions,
         balancer: Balancer,
         events: EventLog,
-        chance: random.Random,
+        rng: random.Random,
     ):
         self.spec = spec
         self.targets: dict[str, Target] = {}
@@ -73,7 +73,7 @@
         self._options = options
         self._balancer = balancer
         self._events = events
-        self._chance = chance
+        self._rng = rng
         self._local: list[Target] = []
         self._remote: list[Target] = []
         self._spill = 0.0
@@ -193,7 +193,7 @@
             # Its task ended, and nobody is there to tell: the owner of its
             # slice died while the table was out. Idle as it looks, it would
             # draw requests, so it is out at once, whatever share is out.
-            target.health.eject(now, self._chance)
+            target.health.eject(now, self._rng)
             self._record(EventKind.EJECTED, target, reply.error)
         target.end(now)
         self.in_flight -= 1
@@ -231,7 +231,7 @@
                 continue
             cause = find_fault(target, median, self.times.high, now)
             if cause and has_room(healths):
-                target.health.eject(now, self._chance)
+                target.health.eject(now, self._rng)
                 self._record(EventKind.EJECTED, target, cause)
 
     def _record(self, kind: EventKind, target: Target, cause: str) -> None:
--- a/lentilmount/routing/pools.py
+++ b/lentilmount/routing/pools.py
@@ -36,7 +36,7 @@
         options: PoolOptions,
         balancer: Balancer,
         events: EventLog,
-        chance: random.Random,
+        rng: random.Random,
         monotonic: Callable[[], float],
         count_daemons: Callable[[], int],
     ):
@@ -46,7 +46,7 @@
         self._options = options
         self._balancer = balancer
         self._events = events
-        self._chance = chance
+        self._rng = rng
         self._monotonic = monotonic
         self._count_daemons = count_daemons
         self.on_mark: Callable[[], None] = _do_nothing
@@ -75,7 +75,7 @@
                 self._options,
                 self._balancer,
                 self._events,
-                self._chance,
+                self._rng,
             )
             self._fill(service, pool)
         return pool
--- a/lentilmount/routing/retries.py
+++ b/lentilmount/routing/retries.py
@@ -41,7 +41,7 @@
         return True
 
 
-def choose_pause(tries: int, left: float, chance: random.Random) -> float:
+def choose_pause(tries: int, left: float, rng: random.Random) -> float:
     """Returns the seconds to wait before a retry, with full jitter.
 
     Source: Brooker, "Exponential Backoff And Jitter", 2015.
@@ -49,7 +49,7 @@
     Args:
       tries: How many tries there were.
       left: Seconds until the deadline.
-      chance: Where randomness comes from.
+      rng: Where randomness comes from.
     """
     longest = min(MOST_PAUSE_SECONDS, PAUSE_SECONDS * 2.0**tries)
-    return min(left / 4, chance.uniform(0.0, longest))
+    return min(left / 4, rng.uniform(0.0, longest))
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -104,16 +104,16 @@
         self._forwarder = forwarder
         self._monotonic = monotonic
         self._events = events or EventLog('router')
-        self._chance = random.Random(options.seed)
+        self._rng = random.Random(options.seed)
         self._teams = TeamLimits()
         self._count_daemons = count_daemons
         self.pools = Pools(
             directory,
             configuration,
             PoolOptions(options.daemon, options.zone, options.entry_hosts),
-            balancer or PowerOfTwo(self._chance),
+            balancer or PowerOfTwo(self._rng),
             self._events,
-            self._chance,
+            self._rng,
             monotonic,
             self._count_daemons,
         )
@@ -204,7 +204,7 @@
         # What an upstream without the service refuses costs it nothing.
         if not reply.is_gone and not pool.retries.spend():
             return None
-        pause = choose_pause(len(progress.tried), left, self._chance)
+        pause = choose_pause(len(progress.tried), left, self._rng)
         await asyncio.sleep(pause)
         self.pools.refresh()
         target = pool.take(progress.tried, self._monotonic())
--- a/stand_ins/cell.py
+++ b/stand_ins/cell.py
@@ -185,7 +185,7 @@
             for daemon in up:
                 reaches = not daemon.table.faults.down
                 daemon.membership.set_eligible(reaches)
-            news = [d.membership.beat() for d in up]
+            news = [d.membership.advance_beat() for d in up]
             for daemon in up:
                 daemon.membership.observe(news)
             await asyncio.sleep(BEAT_SECONDS)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 
 from lentilmount.clock import ManualClock
 from lentilmount.coordination.membership import Member, Membership
-from lentilmount.coordination.mesh import choose_partners
+from lentilmount.coordination.mesh import choose_peers
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.daemon.registry import Registry
 from stand_ins.faulty import FaultyTable
@@ -57,7 +57,7 @@
     def tell(self, name: str) -> list[Member]:
         node = self.nodes[name]
         up = [m for m in node.list_known() if node.is_up(m.name)]
-        return [node.beat(), *up]
+        return [node.advance_beat(), *up]
 
     @rule(name=NODES, other=NODES)
     def send(self, name: str, other: str) -> None:
@@ -97,7 +97,7 @@
     def wake_replaced(self, pick: int, other: str) -> None:
         if self.replaced and other in self.nodes:
             old = self.replaced[pick % len(self.replaced)]
-            self.nodes[other].observe([old.beat(), *old.list_known()])
+            self.nodes[other].observe([old.advance_beat(), *old.list_known()])
 
     @rule(name=NODES)
     def restart(self, name: str) -> None:
@@ -114,7 +114,7 @@
     def exchange(self) -> None:
         for name in self.nodes:
             for other in self.nodes.values():
-                if other.me.name != name:
+                if other.local_member.name != name:
                     other.observe(self.tell(name))
 
     def teardown(self) -> None:
@@ -125,10 +125,13 @@
             self.exchange()
             self.clock.advance(0.5)
         for node in self.nodes.values():
-            up = {member.name for member in node.list_up()}
+            up = {member.name for member in node.list_active()}
             assert up == set(self.nodes)
-            for member in node.list_up():
-                assert member.age[0] == self.nodes[member.name].me.incarnation
+            for member in node.list_active():
+                assert (
+                    member.age[0]
+                    == self.nodes[member.name].local_member.incarnation
+                )
 
 
 TestMembership = Machine.TestCase
@@ -144,8 +147,8 @@
     )
     one.observe([make_member('dead', 1, beat=7)])
     for _ in range(8):
-        two.observe([one.beat(), *one.list_known()])
-        one.observe([two.beat(), *two.list_known()])
+        two.observe([one.advance_beat(), *one.list_known()])
+        one.observe([two.advance_beat(), *two.list_known()])
         clock.advance(0.5)
     assert not one.is_up('dead')
     assert not two.is_up('dead')
@@ -167,7 +170,7 @@
     node.observe([make_member('b', 1)])
     clock.advance(10.0)
     assert not node.is_up('b')
-    node.note_pause(9.9)
+    node.compensate_pause(9.9)
     assert node.is_up('b')
     clock.advance(2.0)
     assert not node.is_up('b')
@@ -184,7 +187,7 @@
     for me in members:
         node = Membership(me, SILENCE, clock.monotonic)
         node.observe(members)
-        partners[me.name] = {m.name for m in choose_partners(node, 2)}
+        partners[me.name] = {m.name for m in choose_peers(node, 2)}
     assert all(n in partners[m] for n in partners for m in partners[n])
     ends = [len(some) for some in partners.values()]
     assert sum(ends) == 42 * 6 + 2 * 2 * 15
@@ -207,7 +210,7 @@
         )
         await first.look()
         await second.look()
-        assert new.me.incarnation == 10
+        assert new.local_member.incarnation == 10
         await first.look()
         await second.look()
         assert first.replaced
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -93,19 +93,19 @@
         table, clock = MemoryTable(), ManualClock()
         small = LeaseKeeper(table, 'small', 2.0, clock.monotonic)
         large = LeaseKeeper(table, 'large', 2.0, clock.monotonic)
-        assert await small.try_acquire(KEY, defer=1.0) is None
+        assert await small.try_acquire(KEY, delay=1.0) is None
         first = await large.try_acquire(KEY)
         assert first is not None
-        assert await small.try_acquire(KEY, defer=1.0) is None
+        assert await small.try_acquire(KEY, delay=1.0) is None
         clock.advance(2.5)
-        assert await small.try_acquire(KEY, defer=1.0) is None
+        assert await small.try_acquire(KEY, delay=1.0) is None
         clock.advance(1.0)
-        second = await small.try_acquire(KEY, defer=1.0)
+        second = await small.try_acquire(KEY, delay=1.0)
         assert second is not None
         await small.release(second)
-        assert await small.try_acquire(KEY, defer=1.0) is None
+        assert await small.try_acquire(KEY, delay=1.0) is None
         clock.advance(1.1)
-        assert await small.try_acquire(KEY, defer=1.0) is not None
+        assert await small.try_acquire(KEY, delay=1.0) is not None
 
     run(check())
 
@@ -118,14 +118,14 @@
         before = LeaseKeeper(table, 'a.1', 2.0, clock.monotonic)
         assert await before.try_acquire(KEY) is not None
 
-        def is_gone(holder: str) -> bool:
+        def has_ended(holder: str) -> bool:
             return holder == 'a.1'
 
-        after = LeaseKeeper(table, 'a.2', 2.0, clock.monotonic, is_gone)
-        assert await after.try_acquire(KEY, defer=1.0) is None
+        after = LeaseKeeper(table, 'a.2', 2.0, clock.monotonic, has_ended)
+        assert await after.try_acquire(KEY, delay=1.0) is None
         clock.advance(2.5)
-        assert await after.try_acquire(KEY, defer=1.0) is None
+        assert await after.try_acquire(KEY, delay=1.0) is None
         clock.advance(1.0)
-        assert await after.try_acquire(KEY, defer=1.0) is not None
+        assert await after.try_acquire(KEY, delay=1.0) is not None
 
     run(check())
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -332,7 +332,7 @@
         taken = await again.try_acquire(KEY)
         assert taken is not None
         assert taken.epoch == lease.epoch + 1
-        assert not again.has_seen_writes(KEY)
+        assert not again.has_observed_last_write(KEY)
 
     play_leases(play)
 
@@ -346,10 +346,10 @@
         keeper, lease = await take_lease(table, clock)
         other = LeaseKeeper(table, 'b', 2.0, clock.monotonic)
         await other.try_acquire(KEY)
-        assert not other.has_seen_writes(KEY)
+        assert not other.has_observed_last_write(KEY)
         await keeper.renew(lease)
         await other.try_acquire(KEY)
-        assert other.has_seen_writes(KEY)
+        assert other.has_observed_last_write(KEY)
         store.fault = Fault.REFUSE
         with pytest.raises(UnavailableError):
             await other.try_acquire(KEY)
@@ -357,6 +357,6 @@
         await other.try_acquire(KEY)
         clock.advance(2.1)
         assert await other.try_acquire(KEY) is not None
-        assert not other.has_seen_writes(KEY)
+        assert not other.has_observed_last_write(KEY)
 
     play_leases(play)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -258,11 +258,11 @@
 
 def test_noise_does_not_move_a_service_own_time() -> None:
     """Noise made neighbours look harmful, or harmless."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     model = InterferenceModel()
     model.observe('s', 2, {}, 20.0, 0.0)
     for step in range(2000):
-        noisy = 20.0 * chance.lognormvariate(0, 0.1)
+        noisy = 20.0 * rng.lognormvariate(0, 0.1)
         model.observe('s', 2, {'quiet': 2.0}, noisy, step * 5.0)
     assert model.get_ratio('s', 2, 20.0) == pytest.approx(1.0, abs=0.03)
 
--- a/tests/test_routing_connections.py
+++ b/tests/test_routing_connections.py
@@ -80,10 +80,10 @@
         async with await Scene.start(1) as scene:
             upstream = scene.upstreams[0]
             upstream.silent = True
-            chance = random.Random(1)
+            rng = random.Random(1)
             await asyncio.gather(
                 *(
-                    scene.router.route(make_call(n), chance.uniform(0.01, 0.1))
+                    scene.router.route(make_call(n), rng.uniform(0.01, 0.1))
                     for n in range(60)
                 ),
                 return_exceptions=True,
--- a/tests/test_routing_decision.py
+++ b/tests/test_routing_decision.py
@@ -123,14 +123,14 @@
     directory = Directory()
     for index, zone in enumerate(ZONES):
         directory.update(f'{zone}/0', make_task(index, f'a{index}', zone))
-    chance = random.Random(1)
+    rng = random.Random(1)
     return Pools(
         directory,
         make_configuration(),
         PoolOptions('entry-0', 'near', SEATS),
-        PowerOfTwo(chance),
+        PowerOfTwo(rng),
         EventLog('entry-0'),
-        chance,
+        rng,
         clock.monotonic,
         lambda: DAEMONS,
     )
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -48,14 +48,14 @@
 
 
 def make_pool(count: int, seats: int = 8) -> Pool:
-    chance = random.Random(1)
+    rng = random.Random(1)
     pool = Pool(
         'desk/quota',
         SPEC,
         PoolOptions('entry-0', ZONE, seats),
-        PowerOfTwo(chance),
+        PowerOfTwo(rng),
         EventLog('entry-0'),
-        chance,
+        rng,
     )
     upstreams = [
         Upstream(f'Service/desk/quota/{n}', 1, f'a{n}', ZONE, f'w{n}')
@@ -364,10 +364,10 @@
     states = [t.health.state for t in pool.targets.values()]
     assert states.count(State.EJECTED) == 3
     health = Health()
-    chance = random.Random(1)
+    rng = random.Random(1)
     lengths = []
     for _ in range(8):
-        health.eject(0.0, chance)
+        health.eject(0.0, rng)
         lengths.append(health.until)
     assert lengths[0] < 3.0 and 48.0 <= lengths[-1] <= 72.0
 
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -57,8 +57,8 @@
         self.daemon = Daemon(attrs.evolve(settings, platform=platform))
         await stack.enter_async_context(self.daemon)
         self.inward.target = self.daemon.addresses['peers']
-        self.daemon.membership.me = attrs.evolve(
-            self.daemon.membership.me, address=self.inward.address
+        self.daemon.membership.local_member = attrs.evolve(
+            self.daemon.membership.local_member, address=self.inward.address
         )
 
     async def call(self) -> int:
@@ -77,7 +77,7 @@
 
     @property
     def up(self) -> set[str]:
-        return {member.name for member in self.daemon.membership.list_up()}
+        return {member.name for member in self.daemon.membership.list_active()}
 
     @property
     def revision(self) -> int:
