--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -90,11 +90,11 @@
         usable = [
             t
             for t in targets
-            if t.own < min(t.fair, t.share)
+            if t.own_in_flight < min(t.fair_share, t.share)
             and t.health.state is not State.EJECTED
             and t.upstream.task not in tried
         ]
-        return min(usable, key=lambda t: t.own, default=None)
+        return min(usable, key=lambda t: t.own_in_flight, default=None)
 
 
 BALANCERS: dict[str, Callable[[], Balancer]] = {
@@ -113,7 +113,7 @@
         if self.variant == 'naive':
             self.router = NaiveRouter(self)
         elif self.variant == 'alone':
-            self.router.pools.take_loads = self._ignore  # type: ignore[method-assign]
+            self.router.pools.update_peer_loads = self._ignore  # type: ignore[method-assign]
         else:
             balancer = BALANCERS[self.variant]()
             self.router.pools._balancer = balancer
--- a/lentilmount/daemon/callers.py
+++ b/lentilmount/daemon/callers.py
@@ -13,7 +13,7 @@
     TIMEOUT_HEADER,
     Call,
     Reply,
-    filter_headers,
+    remove_hop_by_hop_headers,
 )
 from lentilmount.routing.router import Router
 
@@ -47,10 +47,12 @@
             service=f'{team}/{service}',
             method=self.request.method or 'GET',
             path=f'{path}?{query}' if query else path,
-            headers=tuple(filter_headers(self.request.headers.get_all())),
+            headers=tuple(
+                remove_hop_by_hop_headers(self.request.headers.get_all())
+            ),
             body=self.request.body,
             idempotent=self._is_idempotent(),
-            is_gone=lambda: self.gone,
+            is_disconnected=lambda: self.gone,
         )
         reply = await self.router.route(call, self._read_timeout())
         if not self.gone:
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -28,7 +28,7 @@
 from lentilmount.daemon.security import Security
 from lentilmount.errors import LentilmountError
 from lentilmount.events import EventLog
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.routing.router import Router
 from lentilmount.settings import Settings
 from lentilmount.slices import get_zone, list_slices
@@ -62,7 +62,7 @@
     workers: Workers
     events: EventLog
     configuration: Configuration
-    directory: Directory
+    directory: UpstreamDirectory
     security: Security
 
 
@@ -108,7 +108,7 @@
             base.security.peer_client,
             Gossip(router.pools),
         )
-        router.pools.on_mark = self.peers.push
+        router.pools.on_new_mark = self.peers.push
         self.follower = Follower(
             base.table,
             base.configuration,
@@ -162,7 +162,7 @@
         while True:
             with contextlib.suppress(LentilmountError):
                 self.manager.hosts = await self._base.hosts.list_hosts()
-                self._router.pools.take_hosts(self.manager.hosts)
+                self._router.pools.update_hosts(self.manager.hosts)
             await asyncio.sleep(self.host_list_seconds)
 
     async def _watch_eligibility(self) -> None:
--- a/lentilmount/daemon/feed.py
+++ b/lentilmount/daemon/feed.py
@@ -6,7 +6,7 @@
 
 from lentilmount.batch.links import Link
 from lentilmount.batch.manager import SliceManager
-from lentilmount.routing.leaving import Mark
+from lentilmount.routing.leaving import LeavingMark
 from lentilmount.routing.pools import Pools
 from lentilmount.upstream.workers import Usage
 
@@ -35,7 +35,7 @@
         # the callers' own answers show.
         if self._passed.get(link.name) is not link.usage:
             self._passed[link.name] = link.usage
-            self._pools.take_usage(link.usage)
+            self._pools.update_usage(link.usage)
         if link.record.leaving:
-            mark = Mark(link.name, link.record.boot)
+            mark = LeavingMark(link.name, link.record.boot)
             self._pools.mark_leaving(mark, 'the worker')
--- a/lentilmount/daemon/follower.py
+++ b/lentilmount/daemon/follower.py
@@ -24,7 +24,7 @@
 from lentilmount.daemon.slicelog import SliceLogs
 from lentilmount.events import EventKind, EventLog
 from lentilmount.queries.revisions import read_changes, read_snapshot
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.rows import REVISION_KEY
 from lentilmount.waiting import wait_with_timeout
 from lentilmount.wire import peer_pb2
@@ -64,7 +64,7 @@
         self,
         table: Table,
         configuration: Configuration,
-        directory: Directory,
+        directory: UpstreamDirectory,
         slices: Iterable[str],
         events: EventLog,
         poll_seconds: float,
--- a/lentilmount/daemon/gossip.py
+++ b/lentilmount/daemon/gossip.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lentilmount.routing.leaving import Mark
+from lentilmount.routing.leaving import LeavingMark
 from lentilmount.routing.loads import LoadReport
 from lentilmount.routing.pools import Pools
 from lentilmount.wire import peer_pb2
@@ -15,7 +15,7 @@
         self._pools = pools
 
     def write(
-        self, message: peer_pb2.Heartbeat, zone: str, told: set[Mark]
+        self, message: peer_pb2.Heartbeat, zone: str, told: set[LeavingMark]
     ) -> None:
         """Adds what a peer has to know.
 
@@ -40,10 +40,10 @@
     def read(self, message: peer_pb2.Heartbeat) -> None:
         """Takes in what a peer told."""
         for leaving in message.leaving:
-            mark = Mark(leaving.worker, leaving.boot)
+            mark = LeavingMark(leaving.worker, leaving.boot)
             self._pools.mark_leaving(mark, message.sender.name)
         if message.loads:
-            self._pools.take_loads(
+            self._pools.update_peer_loads(
                 LoadReport(load.source, load.service, load.counts)
                 for load in message.loads
             )
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -11,7 +11,7 @@
 from lentilmount.clock import HybridClock, Stamp
 from lentilmount.coordination.membership import Member, Membership, MemberUpdate
 from lentilmount.daemon.gossip import Gossip
-from lentilmount.routing.leaving import Mark
+from lentilmount.routing.leaving import LeavingMark
 from lentilmount.waiting import wait_with_timeout
 from lentilmount.wire import peer_pb2
 
@@ -45,7 +45,7 @@
     zone: str = ''
     origins: dict[str, str] = attrs.Factory(dict)
 
-    def list_for(self, zone: str) -> set[str]:
+    def list_reports_for(self, zone: str) -> set[str]:
         """Returns the slices of which a daemon in a zone has to be told.
 
         What came from its own zone it heard from there, as within a zone
@@ -118,7 +118,7 @@
     sequences: dict[str, int] = attrs.Factory(dict)
     services: dict[str, int] = attrs.Factory(dict)
     missing: set[int] = attrs.Factory(set)
-    marks: set[Mark] = attrs.Factory(set)
+    marks: set[LeavingMark] = attrs.Factory(set)
 
     def hear(self, known: Iterable[Member | MemberUpdate]) -> None:
         """Takes note of what the other end knows."""
@@ -234,7 +234,7 @@
         new, old = told.take_members(up, is_wanted)
         message.members.extend(write_member(member) for member in new)
         message.beats.extend(_write_beat(member) for member in old)
-        names = news.list_for(told.zone)
+        names = news.list_reports_for(told.zone)
         sequences = _choose(news.sequences, names)
         services = _choose(news.services, names)
         message.sequences.update(_take_changed(told.sequences, sequences))
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -35,7 +35,7 @@
 from lentilmount.metrics import Gauged, Metrics
 from lentilmount.queries.resources import Reader
 from lentilmount.queries.watch import Watcher
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.routing.forward import CurlForwarder
 from lentilmount.routing.router import Router, RouterOptions
 from lentilmount.settings import Settings
@@ -71,7 +71,7 @@
         clock = SystemClock()
         self.events = EventLog(settings.name, clock)
         self.configuration = Configuration()
-        self.directory = Directory()
+        self.directory = UpstreamDirectory()
         self._stack = contextlib.AsyncExitStack()
         self.table = HttpTable(settings.platform.table)
         self._hosts = HttpHosts(settings.platform.hosts)
--- a/lentilmount/daemon/slicelog.py
+++ b/lentilmount/daemon/slicelog.py
@@ -17,7 +17,7 @@
 from lentilmount.codec import encode, structure
 from lentilmount.coordination.table import Row, Table, scan_all
 from lentilmount.resources import FINAL_PHASES
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.wire import peer_pb2
 
 PAGE = 200
@@ -67,7 +67,7 @@
       heads: The newest change of each slice that is known to exist.
     """
 
-    def __init__(self, table: Table, directory: Directory):
+    def __init__(self, table: Table, directory: UpstreamDirectory):
         self.heads: dict[str, int] = {}
         self._table = table
         self._directory = directory
--- a/lentilmount/queries/resources.py
+++ b/lentilmount/queries/resources.py
@@ -25,7 +25,7 @@
     UpstreamSpec,
     WorkerSpec,
 )
-from lentilmount.routing.directory import Directory, Upstream
+from lentilmount.routing.directory import Upstream, UpstreamDirectory
 from lentilmount.slices import find_worker_slice, get_zone
 
 MOST_ROWS = 2000
@@ -39,7 +39,7 @@
         self,
         table: Table,
         configuration: Configuration,
-        directory: Directory,
+        directory: UpstreamDirectory,
         slices: tuple[str, ...],
     ):
         self._table = table
--- a/lentilmount/routing/balance.py
+++ b/lentilmount/routing/balance.py
@@ -82,7 +82,7 @@
             return False
         if target.health.state is State.SERVING:
             return True
-        return self._rng.random() < target.health.get_share(now)
+        return self._rng.random() < target.health.get_traffic_share(now)
 
 
 def get_better(
--- a/lentilmount/routing/concurrency.py
+++ b/lentilmount/routing/concurrency.py
@@ -57,6 +57,6 @@
         elif in_flight >= int(self.value):
             self.value = min(self.ceiling, self.value + 1.0 / self.value)
 
-    def note_busy(self) -> None:
+    def reduce_after_rejection(self) -> None:
         """Takes note that the upstream refused for want of room."""
         self.value = max(LEAST, self.value * BUSY_STEP_DOWN)
--- a/lentilmount/routing/directory.py
+++ b/lentilmount/routing/directory.py
@@ -49,7 +49,7 @@
         return self.task.split('/', 2)[2].replace('/', '.')
 
 
-class Directory:
+class UpstreamDirectory:
     """Upstreams by service; changed by what the slices' logs say.
 
     Attributes:
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -15,8 +15,8 @@
 
 import attrs
 
-MOST_EJECTED_SHARE = 0.3
-FAILURES = 5
+MAX_EJECTED_SHARE = 0.3
+FAILURES_TO_EJECT = 5
 """Failures in a row that eject."""
 
 SLOW_FACTOR = 3.0
@@ -69,7 +69,7 @@
             self.state = State.SERVING
             self.ejections = 0
 
-    def get_share(self, now: float) -> float:
+    def get_traffic_share(self, now: float) -> float:
         """Returns the share of its traffic that an upstream gets now."""
         if self.state is State.SERVING:
             return 1.0
@@ -92,7 +92,7 @@
         """Whether its failures in a row are too many."""
         if self.state is State.RETURNING:
             return self.failures > 0
-        return self.failures >= FAILURES
+        return self.failures >= FAILURES_TO_EJECT
 
 
 class Ejectable(Protocol):
@@ -110,15 +110,15 @@
         """Returns the seconds that it has owed an answer."""
 
 
-def has_room(healths: Sequence[Health]) -> bool:
+def can_eject_one_more(healths: Sequence[Health]) -> bool:
     """Tells whether one more of these may be ejected."""
     out = sum(health.state is State.EJECTED for health in healths)
-    return out + 1 <= max(1, int(len(healths) * MOST_EJECTED_SHARE)) and (
+    return out + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
         len(healths) > 1
     )
 
 
-def find_fault(
+def find_ejection_cause(
     target: Ejectable, median: float, high: float, now: float
 ) -> str:
     """Tells why an upstream should be ejected; '' if it should not.
--- a/lentilmount/routing/forward.py
+++ b/lentilmount/routing/forward.py
@@ -82,7 +82,7 @@
       headers: The caller's headers.
       body: The whole body.
       idempotent: Whether running it twice does no harm.
-      is_gone: Tells whether the caller has left.
+      is_disconnected: Tells whether the caller has left.
     """
 
     id: str
@@ -92,7 +92,7 @@
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b''
     idempotent: bool = False
-    is_gone: Callable[[], bool] = attrs.field(default=_never, eq=False)
+    is_disconnected: Callable[[], bool] = attrs.field(default=_never, eq=False)
 
 
 @attrs.frozen
@@ -106,8 +106,8 @@
       body: The whole body.
       error: Why there is no answer.
       is_busy: Whether the upstream refused it for now.
-      is_gone: Whether the upstream says that the service is not there.
-      is_late: Whether the time ran out.
+      is_misdirected: Whether the upstream says that the service is not there.
+      is_timeout: Whether the time ran out.
       is_leaving: Whether the upstream says that it is going away.
     """
 
@@ -117,8 +117,8 @@
     body: bytes = b''
     error: str = ''
     is_busy: bool = False
-    is_gone: bool = False
-    is_late: bool = False
+    is_misdirected: bool = False
+    is_timeout: bool = False
     is_leaving: bool = False
 
 
@@ -286,7 +286,7 @@
                 Result.NOT_RUN,
                 error='the upstream refused it',
                 is_busy=response.code != MISDIRECTED,
-                is_gone=response.code == MISDIRECTED,
+                is_misdirected=response.code == MISDIRECTED,
                 is_leaving=leaving,
             )
         if not _is_whole(call.method, response):
@@ -298,7 +298,7 @@
         return Reply(
             Result.ANSWERED,
             response.code,
-            tuple(filter_headers(headers.get_all())),
+            tuple(remove_hop_by_hop_headers(headers.get_all())),
             response.body or b'',
             is_leaving=leaving,
         )
@@ -345,11 +345,11 @@
     return Reply(
         Result.UNKNOWN if request.was_sent else Result.NOT_RUN,
         error=str(error),
-        is_late=error.errno == pycurl.E_OPERATION_TIMEDOUT,
+        is_timeout=error.errno == pycurl.E_OPERATION_TIMEDOUT,
     )
 
 
-def filter_headers(
+def remove_hop_by_hop_headers(
     headers: Iterable[tuple[str, str]],
 ) -> Iterator[tuple[str, str]]:
     """Leaves out the headers that belong to one connection."""
--- a/lentilmount/routing/latency.py
+++ b/lentilmount/routing/latency.py
@@ -22,7 +22,7 @@
 """Age of the last answer or report from which it counts less and less."""
 
 
-def find_band(load: float) -> int:
+def get_load_band(load: float) -> int:
     """Returns the band of a share of slots in use."""
     return max(0, min(BANDS - 1, int(load * BANDS)))
 
@@ -38,14 +38,14 @@
 
     def observe(self, load: float, seconds: float, now: float) -> None:
         """Takes in an answer of this daemon's own."""
-        self._blend(find_band(load), seconds, SMOOTHING, now)
+        self._blend(get_load_band(load), seconds, SMOOTHING, now)
 
-    def take_report(
+    def observe_report(
         self, load: float, p99: float, age: float, now: float
     ) -> None:
         """Takes in a worker's measurement, the older the less."""
         weight = REPORT_SMOOTHING / (1.0 + age / FADING_SECONDS)
-        self._blend(find_band(load), p99 / TAIL_FACTOR, weight, now)
+        self._blend(get_load_band(load), p99 / TAIL_FACTOR, weight, now)
 
     def _blend(
         self, band: int, seconds: float, weight: float, now: float
@@ -69,7 +69,7 @@
           now: Monotonic time.
         """
         means = self._means
-        band = find_band(load)
+        band = get_load_band(load)
         mean = means[band]
         if not mean:
             mean = self._find_nearest(band) or unknown
--- a/lentilmount/routing/leaving.py
+++ b/lentilmount/routing/leaving.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Mark:
+class LeavingMark:
     """One boot of a worker that is leaving."""
 
     worker: str
@@ -37,7 +37,7 @@
         self._boots: dict[str, list[str]] = {}
         self._listed: frozenset[str] = frozenset()
 
-    def add(self, mark: Mark) -> bool:
+    def add(self, mark: LeavingMark) -> bool:
         """Adds a mark; returns whether it was new."""
         boots = self._boots.setdefault(mark.worker, [])
         if mark.boot in boots:
@@ -47,9 +47,9 @@
         self.version += 1
         return True
 
-    def take_host_list(
+    def update_from_host_list(
         self, leaving: Iterable[str], boots: Mapping[str, str]
-    ) -> list[Mark]:
+    ) -> list[LeavingMark]:
         """Takes in the host list, which names workers without their boot.
 
         The change from staying to leaving marks the boot known now, for good.
@@ -68,7 +68,9 @@
         if listed != self._listed:
             self.version += 1
         self._listed = listed
-        marks = [Mark(name, boots[name]) for name in edges if name in boots]
+        marks = [
+            LeavingMark(name, boots[name]) for name in edges if name in boots
+        ]
         return [mark for mark in marks if self.add(mark)]
 
     def is_leaving(self, worker: str, boot: str) -> bool:
@@ -76,10 +78,10 @@
         marked = boot in self._boots.get(worker, ())
         return marked or worker in self._listed
 
-    def list_marks(self) -> list[Mark]:
+    def list_marks(self) -> list[LeavingMark]:
         """Returns every mark, for peers."""
         return [
-            Mark(worker, boot)
+            LeavingMark(worker, boot)
             for worker, boots in self._boots.items()
             for boot in boots
         ]
--- a/lentilmount/routing/loads.py
+++ b/lentilmount/routing/loads.py
@@ -50,7 +50,7 @@
     return bytes(total)
 
 
-class LoadBook:
+class PeerLoads:
     """The last report of each other daemon and zone.
 
     Args:
@@ -87,7 +87,7 @@
                 total = _add(total, counts)
         return total
 
-    def list_for(
+    def list_reports_for(
         self, zone: str, own: Mapping[str, bytes], now: float
     ) -> list[LoadReport]:
         """Returns what a daemon in a zone is to be told.
--- a/lentilmount/routing/pool.py
+++ b/lentilmount/routing/pool.py
@@ -12,10 +12,14 @@
 from lentilmount.resources import ServiceSpec
 from lentilmount.routing.balance import Balancer, choose_by_zone
 from lentilmount.routing.directory import Upstream
-from lentilmount.routing.ejection import State, find_fault, has_room
+from lentilmount.routing.ejection import (
+    State,
+    can_eject_one_more,
+    find_ejection_cause,
+)
 from lentilmount.routing.forward import Reply, Result
-from lentilmount.routing.hedges import RecentTimes
 from lentilmount.routing.queue import WaitQueue
+from lentilmount.routing.response_times import ResponseTimes
 from lentilmount.routing.retries import Budget
 from lentilmount.routing.target import Target
 
@@ -33,12 +37,12 @@
     Attributes:
       daemon: The daemon's name.
       zone: Its availability zone.
-      seats: Daemons among which connections are shared.
+      entry_hosts: Daemons among which connections are shared.
     """
 
     daemon: str
     zone: str
-    seats: int
+    entry_hosts: int
 
 
 class Pool:
@@ -68,7 +72,7 @@
         self.waiting = WaitQueue(name)
         self.retries = Budget()
         self.hedges = Budget()
-        self.times = RecentTimes()
+        self.times = ResponseTimes()
         self.in_flight = 0
         self._options = options
         self._balancer = balancer
@@ -127,7 +131,7 @@
         One of them is kept free: an upstream may see a new connection before
         it has seen the end of the one that it takes the place of.
         """
-        share = self.spec.connections // self._options.seats
+        share = self.spec.connections // self._options.entry_hosts
         return share - 1 if share > 1 else share
 
     @property
@@ -147,12 +151,12 @@
     def set_daemons(self, count: int) -> None:
         """Sets among how many daemons the slots are shared."""
         for target in self.targets.values():
-            target.fair = max(1, -(-target.slots // max(1, count)))
+            target.fair_share = max(1, -(-target.slots // max(1, count)))
 
-    def take(self, tried: Collection[str], now: float) -> Target | None:
+    def acquire(self, tried: Collection[str], now: float) -> Target | None:
         """Chooses an upstream and counts it as in use."""
         if now >= self._next_review:
-            self.review(now)
+            self.review_health(now)
         target = choose_by_zone(
             self._balancer,
             self._local,
@@ -173,11 +177,14 @@
         # With nothing in flight no release would ever wake the queue, so
         # health alone must not hold requests back.
         for target in self._local + self._remote:
-            if target.own < target.share and target.upstream.task not in tried:
+            if (
+                target.own_in_flight < target.share
+                and target.upstream.task not in tried
+            ):
                 return target
         return None
 
-    def give_back(
+    def release(
         self, target: Target, reply: Reply, began: float, now: float
     ) -> None:
         """Takes in what became of a request and lets the next one in."""
@@ -188,8 +195,8 @@
         failed = self._is_failed(reply, seconds)
         target.health.failures = target.health.failures + 1 if failed else 0
         if reply.is_busy:
-            target.limit.note_busy()
-        if reply.is_gone:
+            target.limit.reduce_after_rejection()
+        if reply.is_misdirected:
             # Its task ended, and nobody is there to tell: the owner of its
             # slice died while the table was out. Idle as it looks, it would
             # draw requests, so it is out at once, whatever share is out.
@@ -199,21 +206,21 @@
         self.in_flight -= 1
         if target.health.is_failing:
             self._next_review = 0.0
-        self.wake(now)
+        self.assign_waiting(now)
 
     def _is_failed(self, reply: Reply, seconds: float) -> bool:
         if reply.result is Result.ANSWERED:
             return reply.status in FAILED_STATUSES
         # A caller in a hurry must not make a healthy upstream look dead.
-        hurried = reply.is_late and seconds < self.times.high
+        hurried = reply.is_timeout and seconds < self.times.high
         return not reply.is_busy and not hurried
 
-    def wake(self, now: float) -> None:
+    def assign_waiting(self, now: float) -> None:
         """Gives free upstreams to requests that wait."""
         if self.waiting:
-            self.waiting.grant(lambda: self.take((), now))
+            self.waiting.grant(lambda: self.acquire((), now))
 
-    def review(self, now: float) -> None:
+    def review_health(self, now: float) -> None:
         """Ejects upstreams that are at fault and lets others return."""
         self._next_review = now + REVIEW_SECONDS
         targets = self._local + self._remote
@@ -229,8 +236,8 @@
         for target in targets:
             if target.health.state is State.EJECTED:
                 continue
-            cause = find_fault(target, median, self.times.high, now)
-            if cause and has_room(healths):
+            cause = find_ejection_cause(target, median, self.times.high, now)
+            if cause and can_eject_one_more(healths):
                 target.health.eject(now, self._rng)
                 self._record(EventKind.EJECTED, target, cause)
 
--- a/lentilmount/routing/pools.py
+++ b/lentilmount/routing/pools.py
@@ -9,9 +9,9 @@
 from lentilmount.events import EventKind, EventLog
 from lentilmount.resources import Kind, ServiceSpec, UpstreamSpec
 from lentilmount.routing.balance import Balancer
-from lentilmount.routing.directory import Directory, Upstream
-from lentilmount.routing.leaving import LeavingMarks, Mark
-from lentilmount.routing.loads import LoadBook, LoadReport, pack_counts
+from lentilmount.routing.directory import Upstream, UpstreamDirectory
+from lentilmount.routing.leaving import LeavingMark, LeavingMarks
+from lentilmount.routing.loads import LoadReport, PeerLoads, pack_counts
 from lentilmount.routing.pool import Pool, PoolOptions
 from lentilmount.upstream.hosts import Host
 from lentilmount.upstream.workers import Usage
@@ -26,12 +26,12 @@
 
     Attributes:
       marks: Workers that are leaving.
-      on_mark: Called when a mark is new, to tell peers soon.
+      on_new_mark: Called when a mark is new, to tell peers soon.
     """
 
     def __init__(
         self,
-        directory: Directory,
+        directory: UpstreamDirectory,
         configuration: Configuration,
         options: PoolOptions,
         balancer: Balancer,
@@ -49,19 +49,19 @@
         self._rng = rng
         self._monotonic = monotonic
         self._count_daemons = count_daemons
-        self.on_mark: Callable[[], None] = _do_nothing
+        self.on_new_mark: Callable[[], None] = _do_nothing
         self._pools: dict[str, Pool] = {}
         self._versions = (-1, -1, -1)
-        self._book = LoadBook(options.daemon, options.zone)
+        self._peer_loads = PeerLoads(options.daemon, options.zone)
 
     @property
     def in_flight(self) -> dict[str, int]:
         """Requests that this daemon has at each upstream, by task."""
         return {
-            task: target.own
+            task: target.own_in_flight
             for pool in self._pools.values()
             for task, target in pool.targets.items()
-            if target.own
+            if target.own_in_flight
         }
 
     def get(self, service: str, spec: ServiceSpec) -> Pool:
@@ -104,7 +104,7 @@
         spill = self._configuration.get_weights().spill_ms / 1000
         pool.update(spec, spill, upstreams, self._is_closed)
         self._share_loads()
-        pool.wake(self._monotonic())
+        pool.assign_waiting(self._monotonic())
 
     def _is_closed(self, upstream: Upstream) -> bool:
         """Tells whether an upstream gets no new work."""
@@ -121,7 +121,7 @@
             or self.marks.is_leaving(upstream.worker, upstream.boot)
         )
 
-    def mark_leaving(self, mark: Mark, source: str) -> None:
+    def mark_leaving(self, mark: LeavingMark, source: str) -> None:
         """Takes note that a boot of a worker is leaving.
 
         Args:
@@ -131,19 +131,19 @@
         if self.marks.add(mark):
             self._note_leaving(mark, source)
 
-    def take_hosts(self, hosts: Iterable[Host]) -> None:
+    def update_hosts(self, hosts: Iterable[Host]) -> None:
         """Takes in which hosts the host list calls leaving."""
         boots = {u.worker: u.boot for u in self._directory.list_all()}
         names = [host.name for host in hosts if host.leaving]
-        for mark in self.marks.take_host_list(names, boots):
+        for mark in self.marks.update_from_host_list(names, boots):
             self._note_leaving(mark, 'the host list')
         self.refresh()
 
-    def _note_leaving(self, mark: Mark, source: str) -> None:
+    def _note_leaving(self, mark: LeavingMark, source: str) -> None:
         self._events.record(
             'routing', EventKind.LEAVING, worker=mark.worker, cause=source
         )
-        self.on_mark()
+        self.on_new_mark()
         self.refresh()
 
     def list_loads(self, zone: str) -> list[LoadReport]:
@@ -158,34 +158,34 @@
             )
             for service, pool in self._pools.items()
         }
-        return self._book.list_for(zone, own, now)
+        return self._peer_loads.list_reports_for(zone, own, now)
 
-    def take_loads(self, reports: Iterable[LoadReport]) -> None:
+    def update_peer_loads(self, reports: Iterable[LoadReport]) -> None:
         """Takes in the loads that a peer told."""
-        self._book.take(reports, self._monotonic())
+        self._peer_loads.take(reports, self._monotonic())
         self._share_loads()
         for pool in list(self._pools.values()):
-            pool.wake(self._monotonic())
+            pool.assign_waiting(self._monotonic())
 
     def _share_loads(self) -> None:
         now = self._monotonic()
         count = self._count_daemons()
         for service, pool in self._pools.items():
-            others = self._book.sum_others(service, now)
+            others = self._peer_loads.sum_others(service, now)
             pool.set_daemons(count)
             for target in pool.targets.values():
                 number = target.upstream.number
                 known = number < len(others)
-                target.others = float(others[number]) if known else 0.0
+                target.other_in_flight = float(others[number]) if known else 0.0
 
-    def take_usage(self, usages: Iterable[Usage]) -> None:
+    def update_usage(self, usages: Iterable[Usage]) -> None:
         """Takes in what workers measured of services, with its lag."""
         for usage in usages:
             service = usage.task.partition('/')[2].rpartition('/')[0]
             pool = self._pools.get(service)
             target = pool.targets.get(usage.task) if pool else None
             if target is not None and usage.p99_ms:
-                target.latency.take_report(
+                target.latency.observe_report(
                     usage.load,
                     usage.p99_ms / 1000,
                     usage.age,
--- a/lentilmount/routing/queue.py
+++ b/lentilmount/routing/queue.py
@@ -21,12 +21,12 @@
 
     Attributes:
       future: Gets the upstream, already counted as in use.
-      is_gone: Tells whether the caller has left.
+      is_disconnected: Tells whether the caller has left.
       timer: Refuses it when it waited for too long.
     """
 
     future: asyncio.Future[Target]
-    is_gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
     timer: asyncio.TimerHandle | None = None
 
 
@@ -50,14 +50,17 @@
         return (len(self._waiters) + 1) * typical / max(1, in_flight)
 
     async def wait(
-        self, predicted: float, patience: float, is_gone: Callable[[], bool]
+        self,
+        predicted: float,
+        patience: float,
+        is_disconnected: Callable[[], bool],
     ) -> Target:
         """Waits for a target.
 
         Args:
           predicted: See `predict`.
           patience: Longest wait that leaves time for an answer, in seconds.
-          is_gone: Tells whether the caller has left.
+          is_disconnected: Tells whether the caller has left.
 
         Raises:
           UpstreamError: At once if the wait would be too long, or later if
@@ -66,7 +69,7 @@
         if predicted > patience or len(self._waiters) >= MOST_WAITING:
             raise self.make_refusal(predicted)
         loop = asyncio.get_running_loop()
-        waiter = Waiter(loop.create_future(), is_gone)
+        waiter = Waiter(loop.create_future(), is_disconnected)
         waiter.timer = loop.call_later(patience, self._give_up, waiter)
         self._waiters.append(waiter)
         return await waiter.future
@@ -91,7 +94,7 @@
           take: Takes a free upstream; None if there is none.
         """
         while self._waiters:
-            if self._waiters[0].is_gone():
+            if self._waiters[0].is_disconnected():
                 self._dismiss(self._waiters.popleft())
                 continue
             target = take()
--- a/lentilmount/routing/hedges.py
+++ b/lentilmount/routing/response_times.py
@@ -13,7 +13,7 @@
 LEAST_SAMPLES = 64
 
 
-class RecentTimes:
+class ResponseTimes:
     """The times of a service's recent answers.
 
     Attributes:
--- a/lentilmount/routing/retries.py
+++ b/lentilmount/routing/retries.py
@@ -24,20 +24,20 @@
     """What may be spent on extra copies of requests.
 
     Attributes:
-      saved: Copies that may be sent now.
+      balance: Copies that may be sent now.
     """
 
-    saved: float = FIRST_SAVED
+    balance: float = FIRST_SAVED
 
     def earn(self, share: float) -> None:
         """Takes note of a request of a caller."""
-        self.saved = min(MOST_SAVED, self.saved + share)
+        self.balance = min(MOST_SAVED, self.balance + share)
 
     def spend(self) -> bool:
         """Takes one copy if there is one."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
 
 
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -17,7 +17,7 @@
 )
 from lentilmount.events import EventKind, EventLog
 from lentilmount.routing.balance import Balancer, PowerOfTwo
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.routing.forward import (
     MAX_CLIENTS,
     Call,
@@ -25,7 +25,7 @@
     Reply,
     Result,
 )
-from lentilmount.routing.leaving import Mark
+from lentilmount.routing.leaving import LeavingMark
 from lentilmount.routing.pool import Pool, PoolOptions
 from lentilmount.routing.pools import Pools
 from lentilmount.routing.retries import choose_pause
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: UpstreamDirectory,
         configuration: Configuration,
         forwarder: Forwarder,
         options: RouterOptions,
@@ -180,12 +180,14 @@
         if self._copies >= MAX_COPIES:
             raise pool.waiting.make_refusal(typical)
         if not pool.waiting:
-            target = pool.take((), now)
+            target = pool.acquire((), now)
             if target is not None:
                 return target
         predicted = pool.waiting.predict(typical, pool.in_flight)
         patience = min(left - typical, pool.get_patience())
-        return await pool.waiting.wait(predicted, patience, call.is_gone)
+        return await pool.waiting.wait(
+            predicted, patience, call.is_disconnected
+        )
 
     async def _take_again(
         self, pool: Pool, progress: _Progress, reply: Reply
@@ -194,20 +196,20 @@
         call = progress.call
         if progress.may_have_run and not call.idempotent:
             return None
-        progress.misdirected += reply.is_gone
+        progress.misdirected += reply.is_misdirected
         tries = len(progress.tried) - progress.misdirected
-        if tries >= MAX_TRIES or call.is_gone():
+        if tries >= MAX_TRIES or call.is_disconnected():
             return None
         left = progress.deadline - self._monotonic()
         if left <= pool.times.typical:
             return None
         # What an upstream without the service refuses costs it nothing.
-        if not reply.is_gone and not pool.retries.spend():
+        if not reply.is_misdirected and not pool.retries.spend():
             return None
         pause = choose_pause(len(progress.tried), left, self._rng)
         await asyncio.sleep(pause)
         self.pools.refresh()
-        target = pool.take(progress.tried, self._monotonic())
+        target = pool.acquire(progress.tried, self._monotonic())
         if target is not None:
             self._record(EventKind.RETRY, target, call, reply.error)
         return target
@@ -232,13 +234,13 @@
 
     def _take_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
         left = progress.deadline - self._monotonic()
-        if left <= pool.times.typical or progress.call.is_gone():
+        if left <= pool.times.typical or progress.call.is_disconnected():
             return None
         # A copy for a service without free slots would only make the queue
         # of the others longer.
-        if pool.waiting or pool.hedges.saved < 1.0:
+        if pool.waiting or pool.hedges.balance < 1.0:
             return None
-        other = pool.take(progress.tried, self._monotonic())
+        other = pool.acquire(progress.tried, self._monotonic())
         if other is not None:
             pool.hedges.spend()
             self._record(EventKind.HEDGE, other, progress.call, 'slow')
@@ -260,11 +262,11 @@
             progress.may_have_run = True
         if reply.is_leaving:
             self.pools.mark_leaving(
-                Mark(upstream.worker, upstream.boot), 'itself'
+                LeavingMark(upstream.worker, upstream.boot), 'itself'
             )
         # What waits must not be given an upstream that left meanwhile.
         self.pools.refresh()
-        pool.give_back(target, reply, began, self._monotonic())
+        pool.release(target, reply, began, self._monotonic())
         return reply
 
     def _make_error(self, progress: _Progress, reply: Reply) -> UpstreamError:
--- a/lentilmount/routing/target.py
+++ b/lentilmount/routing/target.py
@@ -18,10 +18,10 @@
 
     Attributes:
       upstream: The upstream.
-      own: Requests that this daemon has there.
-      others: Requests that the other daemons said they have there.
+      own_in_flight: Requests that this daemon has there.
+      other_in_flight: Requests that the other daemons said they have there.
       slots: Requests that it runs at once.
-      fair: Slots that are this daemon's if all daemons want some.
+      fair_share: Slots that are this daemon's if all daemons want some.
       share: Most connections of this daemon.
       limit: What it takes without queueing, as learned.
       latency: How long it takes at which load.
@@ -32,12 +32,12 @@
         '_average',
         '_averaged_at',
         '_progress_at',
-        'fair',
+        'fair_share',
         'health',
         'latency',
         'limit',
-        'others',
-        'own',
+        'other_in_flight',
+        'own_in_flight',
         'share',
         'slots',
         'upstream',
@@ -45,10 +45,10 @@
 
     def __init__(self, upstream: Upstream, slots: int, share: int):
         self.upstream = upstream
-        self.own = 0
-        self.others = 0.0
+        self.own_in_flight = 0
+        self.other_in_flight = 0.0
         self.slots = slots
-        self.fair = slots
+        self.fair_share = slots
         self.share = share
         self.limit = AdaptiveLimit(float(max(1, share)))
         self.latency = LatencyModel()
@@ -64,9 +64,9 @@
 
     def get_silence(self, now: float) -> float:
         """See `Ejectable`."""
-        return now - self._progress_at if self.own else 0.0
+        return now - self._progress_at if self.own_in_flight else 0.0
 
-    def get_allowance(self) -> int:
+    def get_request_limit(self) -> int:
         """Returns how many requests this daemon may have here now.
 
         The connection share is the hard end. Within it a daemon takes its
@@ -74,19 +74,19 @@
         """
         if self.health.state is State.RETURNING:
             return min(1, self.share)
-        room = max(self.fair, self.slots - round(self.others))
+        room = max(self.fair_share, self.slots - round(self.other_in_flight))
         return min(self.share, int(self.limit.value), room)
 
     def is_open(self) -> bool:
         """Tells whether one more request may be sent."""
         return (
-            self.own < self.get_allowance()
+            self.own_in_flight < self.get_request_limit()
             and self.health.state is not State.EJECTED
         )
 
     def get_load(self) -> float:
         """Returns the share of the slots in use, one more included."""
-        return (self.own + self.others + 1.0) / self.slots
+        return (self.own_in_flight + self.other_in_flight + 1.0) / self.slots
 
     def get_cost(self, unknown: float, now: float) -> float:
         """Returns the expected seconds of one more request.
@@ -100,26 +100,28 @@
     def begin(self, now: float) -> None:
         """Takes note that a request is sent."""
         self._average_load(now)
-        if not self.own:
+        if not self.own_in_flight:
             self._progress_at = now
-        self.own += 1
+        self.own_in_flight += 1
 
     def end(self, now: float) -> None:
         """Takes note that a request is over."""
         self._average_load(now)
-        self.own -= 1
+        self.own_in_flight -= 1
         self._progress_at = now
 
     def observe(self, seconds: float, now: float) -> None:
         """Takes in the time of an answer; called before `end`."""
-        self.limit.observe(seconds, self.own, now)
-        load = (self.own + self.others) / self.slots
+        self.limit.observe(seconds, self.own_in_flight, now)
+        load = (self.own_in_flight + self.other_in_flight) / self.slots
         self.latency.observe(load, seconds, now)
 
     def _average_load(self, now: float) -> None:
         passed = now - self._averaged_at
         fade = math.exp(-passed / LOAD_SECONDS)
-        self._average = self.own + (self._average - self.own) * fade
+        self._average = (
+            self.own_in_flight + (self._average - self.own_in_flight) * fade
+        )
         self._averaged_at = now
 
     def read_average(self, now: float) -> float:
--- a/tests/routing_scene.py
+++ b/tests/routing_fixtures.py
@@ -21,7 +21,7 @@
     Spec,
     TeamSpec,
 )
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.routing.forward import Call, CurlForwarder, Forwarder, Reply
 from lentilmount.routing.router import Router, RouterOptions
 from stand_ins.raw import RawOptions, RawUpstream
@@ -119,9 +119,9 @@
     entry_hosts: int = 8,
     monotonic: Callable[[], float] | None = None,
     daemons: int = 1,
-) -> tuple[Router, Directory]:
+) -> tuple[Router, UpstreamDirectory]:
     """Builds a router over upstreams at some addresses."""
-    directory = Directory()
+    directory = UpstreamDirectory()
     tasks = [make_task(index, a) for index, a in enumerate(addresses)]
     directory.load(f'{ZONE}/0', tasks)
     router = Router(
@@ -156,7 +156,7 @@
 
     upstreams: list[RawUpstream]
     router: Router
-    directory: Directory
+    directory: UpstreamDirectory
     forwarder: CurlForwarder
 
     @classmethod
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,7 +21,7 @@
 from lentilmount.queries import revisions
 from lentilmount.queries.revisions import read_snapshot
 from lentilmount.resources import Kind, Metadata, Resource, TeamSpec
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.wire import peer_pb2
 from stand_ins.faulty import FaultyTable
 from tests.helpers import run
@@ -44,7 +44,7 @@
         self.follower = Follower(
             table,
             self.configuration,
-            Directory(),
+            UpstreamDirectory(),
             (),
             EventLog('d'),
             60.0,
--- a/tests/test_routing_answers.py
+++ b/tests/test_routing_answers.py
@@ -17,7 +17,7 @@
 from stand_ins.processes import hash_token
 from stand_ins.raw import Act, RawOptions, RawRequest
 from tests.helpers import run
-from tests.routing_scene import Scene, make_call
+from tests.routing_fixtures import Scene, make_call
 
 BROKEN = (
     Act.CUT_BODY,
--- a/tests/test_routing_connections.py
+++ b/tests/test_routing_connections.py
@@ -11,7 +11,7 @@
 from lentilmount.routing.forward import CurlForwarder
 from stand_ins.raw import RawOptions, RawUpstream
 from tests.helpers import run
-from tests.routing_scene import (
+from tests.routing_fixtures import (
     SPEC,
     Scene,
     make_call,
--- a/tests/test_routing_decision.py
+++ b/tests/test_routing_decision.py
@@ -15,9 +15,9 @@
 from lentilmount.clock import ManualClock
 from lentilmount.events import EventLog
 from lentilmount.routing.balance import PowerOfTwo
-from lentilmount.routing.directory import Directory
+from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.routing.forward import Reply, Result
-from lentilmount.routing.leaving import Mark
+from lentilmount.routing.leaving import LeavingMark
 from lentilmount.routing.loads import (
     STALE_SECONDS,
     LoadReport,
@@ -26,7 +26,7 @@
 from lentilmount.routing.pool import PoolOptions
 from lentilmount.routing.pools import Pools
 from lentilmount.routing.target import Target
-from tests.routing_scene import SERVICE, SPEC, make_configuration, make_task
+from tests.routing_fixtures import SERVICE, SPEC, make_configuration, make_task
 
 ZONES = ('near', 'near', 'far')
 SEATS = 8
@@ -120,7 +120,7 @@
 
 
 def make_pools(clock: ManualClock) -> Pools:
-    directory = Directory()
+    directory = UpstreamDirectory()
     for index, zone in enumerate(ZONES):
         directory.update(f'{zone}/0', make_task(index, f'a{index}', zone))
     rng = random.Random(1)
@@ -162,7 +162,7 @@
         if kind == 'take':
             right = history.list_right()
             pools.refresh()
-            target = pool.take((), clock.now)
+            target = pool.acquire((), clock.now)
             if target is None:
                 assert not right
                 continue
@@ -173,8 +173,8 @@
             held.append((chosen, target))
         elif kind == 'end' and held:
             chosen, target = held.pop(amount % len(held))
-            refused = Reply(Result.NOT_RUN, is_late=True)
-            pool.give_back(target, refused, clock.now - 1, clock.now)
+            refused = Reply(Result.NOT_RUN, is_timeout=True)
+            pool.release(target, refused, clock.now - 1, clock.now)
             target.health.failures = 0
             history.ended.append(chosen)
             history.progress.append((clock.now, 'end', chosen))
@@ -182,15 +182,15 @@
             daemon = f'entry-{amount % 3 + 1}'
             loads = {n: amount // (1 + (n == index)) for n in range(len(ZONES))}
             report = LoadReport(daemon, SERVICE, pack_counts(loads))
-            pools.take_loads([report])
+            pools.update_peer_loads([report])
             history.reports.append((clock.now, daemon, loads))
         elif kind == 'leave' and amount == 0:
             worker = f'{ZONES[index]}-{index}'
-            pools.mark_leaving(Mark(worker, 'boot-1'), 'entry-1')
+            pools.mark_leaving(LeavingMark(worker, 'boot-1'), 'entry-1')
             history.left.append(index)
         elif kind == 'wait':
             clock.advance(amount / 10)
             history.now = clock.now
             # Heartbeats come all the time; each makes old reports expire.
-            pools.take_loads([LoadReport('entry-9', SERVICE, b'')])
+            pools.update_peer_loads([LoadReport('entry-9', SERVICE, b'')])
             history.reports.append((clock.now, 'entry-9', {}))
--- a/tests/test_routing_gone.py
+++ b/tests/test_routing_gone.py
@@ -4,7 +4,7 @@
 from lentilmount.resources import ConfigurationSpec
 from lentilmount.routing.forward import Call, Reply, Result
 from tests.helpers import run
-from tests.routing_scene import (
+from tests.routing_fixtures import (
     ScriptedForwarder,
     make_call,
     make_configuration,
@@ -12,7 +12,7 @@
 )
 
 DONE = Reply(Result.ANSWERED, 200)
-GONE = Reply(Result.NOT_RUN, error='not here', is_gone=True)
+GONE = Reply(Result.NOT_RUN, error='not here', is_misdirected=True)
 ADDRESSES = [f'a{number}' for number in range(8)]
 ENDED = frozenset(ADDRESSES[:5])
 
--- a/tests/test_routing_leaving.py
+++ b/tests/test_routing_leaving.py
@@ -21,7 +21,7 @@
     WorkerSpec,
 )
 from lentilmount.routing.forward import Reply, Result
-from lentilmount.routing.leaving import LeavingMarks, Mark
+from lentilmount.routing.leaving import LeavingMark, LeavingMarks
 from lentilmount.settings import (
     PlatformSettings,
     Settings,
@@ -31,7 +31,7 @@
 from stand_ins.platform import Platform, PlatformOptions, ZoneOptions
 from stand_ins.raw import Act
 from tests.helpers import run
-from tests.routing_scene import (
+from tests.routing_fixtures import (
     ZONE,
     Scene,
     ScriptedForwarder,
@@ -62,13 +62,13 @@
     @rule(worker=st.sampled_from(WORKERS), back=st.integers(0, 2))
     def hear(self, worker: str, back: int) -> None:
         boot = max(0, self.boots[worker] - back)
-        self.marks.add(Mark(worker, str(boot)))
+        self.marks.add(LeavingMark(worker, str(boot)))
         self.left.add((worker, boot))
 
     @rule(listed=st.sets(st.sampled_from(WORKERS)))
     def read_list(self, listed: set[str]) -> None:
         boots = {w: str(boot) for w, boot in self.boots.items()}
-        self.marks.take_host_list(listed, boots)
+        self.marks.update_from_host_list(listed, boots)
         for worker in listed - self.listed:
             self.left.add((worker, self.boots[worker]))
         self.listed = listed
@@ -121,15 +121,15 @@
             )
         )
         router, directory = make_router(['a0', 'a1', 'a2'], forwarder)
-        mark = Mark(f'{ZONE}-0', 'boot-1')
+        mark = LeavingMark(f'{ZONE}-0', 'boot-1')
         if source == 'list':
-            router.pools.take_hosts(make_hosts(0))
+            router.pools.update_hosts(make_hosts(0))
         elif source == 'peer':
             router.pools.mark_leaving(mark, 'entry-1')
         else:
             assert 'a0' in await collect(router)
         assert await collect(router) == {'a1', 'a2'}
-        router.pools.take_hosts(make_hosts())
+        router.pools.update_hosts(make_hosts())
         assert await collect(router) == {'a1', 'a2'}
         directory.update(f'{ZONE}/0', make_task(0, 'a0', ZONE, 2, 'boot-2'))
         leaving = False
@@ -169,7 +169,7 @@
                 for n in range(12)
             ]
             await asyncio.sleep(0.05)
-            mark = Mark(f'{ZONE}-0', 'boot-1')
+            mark = LeavingMark(f'{ZONE}-0', 'boot-1')
             scene.router.pools.mark_leaving(mark, 'entry-1')
             done, _ = await asyncio.wait(calls, timeout=0.1)
             assert len(done) == 5
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -19,19 +19,19 @@
 from lentilmount.routing.concurrency import AdaptiveLimit
 from lentilmount.routing.directory import Upstream
 from lentilmount.routing.ejection import (
-    MOST_EJECTED_SHARE,
+    MAX_EJECTED_SHARE,
     RETURN_SECONDS,
     Health,
     State,
 )
 from lentilmount.routing.forward import Call, Reply, Result
 from lentilmount.routing.latency import LatencyModel
-from lentilmount.routing.loads import LoadBook, pack_counts
+from lentilmount.routing.loads import PeerLoads, pack_counts
 from lentilmount.routing.pool import Pool, PoolOptions
 from lentilmount.routing.retries import FIRST_SAVED, Budget
 from lentilmount.routing.target import Target
 from tests.helpers import run
-from tests.routing_scene import (
+from tests.routing_fixtures import (
     SPEC,
     ZONE,
     ScriptedForwarder,
@@ -77,23 +77,23 @@
     @rule()
     def take(self) -> None:
         allowed = {
-            task: target.get_allowance()
+            task: target.get_request_limit()
             for task, target in self.pool.targets.items()
         }
         was_idle = not self.held
-        target = self.pool.take((), self.now)
+        target = self.pool.acquire((), self.now)
         if target is None:
             assert not was_idle
             return
         task = target.upstream.task
-        assert was_idle or target.own <= max(1, allowed[task])
+        assert was_idle or target.own_in_flight <= max(1, allowed[task])
         self.held.append((target, self.now))
 
     @rule(index=st.integers(0, 40), reply=st.sampled_from([DONE, FAILED]))
     def give_back(self, index: int, reply: Reply) -> None:
         if self.held:
             target, began = self.held.pop(index % len(self.held))
-            self.pool.give_back(target, reply, began, self.now)
+            self.pool.release(target, reply, began, self.now)
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 10.0]))
     def pass_time(self, seconds: float) -> None:
@@ -104,17 +104,17 @@
         for target, load in zip(
             self.pool.targets.values(), others, strict=True
         ):
-            target.others = float(load)
+            target.other_in_flight = float(load)
 
     @invariant()
     def counts_are_right(self) -> None:
         ejected = 0
         for target in self.pool.targets.values():
             held = sum(t is target for t, _ in self.held)
-            assert target.own == held <= self.pool.share
+            assert target.own_in_flight == held <= self.pool.share
             ejected += target.health.state is State.EJECTED
         assert self.pool.in_flight == len(self.held)
-        assert ejected <= max(1, 4 * MOST_EJECTED_SHARE)
+        assert ejected <= max(1, 4 * MAX_EJECTED_SHARE)
 
 
 class Loads(RuleBasedStateMachine):
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        self.books = {name: LoadBook(name, name[0]) for name in self.NAMES}
+        self.books = {name: PeerLoads(name, name[0]) for name in self.NAMES}
         self.own = dict.fromkeys(self.NAMES, b'')
 
     @rule(
@@ -142,7 +142,7 @@
         for link in [*links, *links]:
             for one, other in (link, link[::-1]):
                 own = {'desk/quota': self.own[one]}
-                told = self.books[one].list_for(other[0], own, self.now)
+                told = self.books[one].list_reports_for(other[0], own, self.now)
                 self.books[other].take(told, self.now)
         for name, book in self.books.items():
             known = book.sum_others('desk/quota', self.now)
@@ -243,7 +243,7 @@
 
         def make(number: int) -> Call:
             call = make_call(number, idempotent=False)
-            return attrs.evolve(call, is_gone=lambda: call.id in gone)
+            return attrs.evolve(call, is_disconnected=lambda: call.id in gone)
 
         calls = [
             asyncio.create_task(router.route(make(n), None)) for n in range(12)
@@ -328,7 +328,7 @@
 def test_limit_falls_when_the_upstream_says_busy() -> None:
     limit = AdaptiveLimit(8.0)
     for _ in range(10):
-        limit.note_busy()
+        limit.reduce_after_rejection()
     assert limit.value == 1.0
 
 
@@ -342,16 +342,16 @@
         target.observe(seconds, now)
         target.end(now)
     slow = pool.targets['Service/desk/quota/0']
-    pool.review(now)
+    pool.review_health(now)
     health = slow.health
     states = [health.state]
     now = health.until
-    pool.review(now)
+    pool.review_health(now)
     states.append(health.state)
-    assert slow.get_allowance() == 1
-    shares = [health.get_share(now + s) for s in (0.0, 2.5, 5.0)]
+    assert slow.get_request_limit() == 1
+    shares = [health.get_traffic_share(now + s) for s in (0.0, 2.5, 5.0)]
     assert shares == [0.05, 0.5, 1.0]
-    pool.review(now + RETURN_SECONDS)
+    pool.review_health(now + RETURN_SECONDS)
     states.append(health.state)
     assert states == [State.EJECTED, State.RETURNING, State.SERVING]
 
@@ -360,7 +360,7 @@
     pool = make_pool(10)
     for target in pool.targets.values():
         target.health.failures = 100
-    pool.review(1000.0)
+    pool.review_health(1000.0)
     states = [t.health.state for t in pool.targets.values()]
     assert states.count(State.EJECTED) == 3
     health = Health()
@@ -376,7 +376,7 @@
     """A reported slowness at high load counts only at high load."""
     model = LatencyModel()
     model.observe(0.1, 0.1, 10.0)
-    model.take_report(0.9, 1.8, 2.0, 10.0)
+    model.observe_report(0.9, 1.8, 2.0, 10.0)
     assert model.estimate(0.1, 0.1, 10.0) == pytest.approx(0.1)
     assert model.estimate(0.9, 0.1, 10.0) == pytest.approx(1.0)
     assert model.estimate(0.9, 0.1, 40.0) < 0.2
--- a/tests/test_routing_ran.py
+++ b/tests/test_routing_ran.py
@@ -13,10 +13,10 @@
 from lentilmount.errors import ErrorKind, Ran, UpstreamError
 from lentilmount.resources import ConfigurationSpec
 from lentilmount.routing.forward import Call, CurlForwarder, Result
-from lentilmount.routing.hedges import LEAST_SAMPLES, SORT_EVERY
+from lentilmount.routing.response_times import LEAST_SAMPLES, SORT_EVERY
 from stand_ins.raw import LOOPBACK, Act, RawOptions, RawRequest, RawUpstream
 from tests.helpers import run
-from tests.routing_scene import (
+from tests.routing_fixtures import (
     SERVICE,
     SPEC,
     Scene,
