--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,7 +18,7 @@
 from benchmarks.report import Report
 from lentilmount.resources import Room
 from lentilmount.settings import TimeSettings
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.platform import PlatformOptions, make_zones
 from stand_ins.processes import ADMIN_TOKEN, Deployment
 
@@ -75,13 +75,13 @@
     def __init__(self, deployment: Deployment, seconds: float):
         self._deployment = deployment
         self.seconds = seconds
-        self._callers: list[HttpCaller] = []
-        self._platform = HttpCaller(deployment.platform.addresses['table'])
+        self._callers: list[HttpClient] = []
+        self._platform = HttpClient(deployment.platform.addresses['table'])
 
     def connect(self) -> None:
         """Opens a client to each daemon's resource API."""
         self._callers = [
-            HttpCaller(f'http://{d.addresses["operators"]}', 30.0)
+            HttpClient(f'http://{d.addresses["operators"]}', 30.0)
             for d in self._deployment.daemons.values()
         ]
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 
 from lentilmount.resources import Room
 from lentilmount.settings import LimitSettings
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.platform import PlatformOptions, make_zones
 from stand_ins.processes import ADMIN_TOKEN, Deployment, Process
 from stand_ins.raw import RawOptions, get_capacity
@@ -122,7 +122,7 @@
                 limits=LimitSettings(connections=MANY_CONNECTIONS),
             )
         operators = self.daemons[0].addresses['operators']
-        self._caller = HttpCaller(f'http://{operators}', 10.0)
+        self._caller = HttpClient(f'http://{operators}', 10.0)
         self._stack.callback(self._caller.close)
         await self._declare()
         return self
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -25,7 +25,7 @@
 from benchmarks.report import Report
 from lentilmount.resources import Room
 from lentilmount.settings import TimeSettings
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.platform import PlatformOptions, make_zones
 from stand_ins.processes import ADMIN_TOKEN, Deployment, Process
 
@@ -56,7 +56,7 @@
 
     deployment: Deployment
     daemons: list[Process]
-    callers: list[HttpCaller]
+    callers: list[HttpClient]
 
     async def ask(self, index: int, method: str, path: str, body: Any) -> Any:
         """Calls the resource API of a daemon."""
@@ -83,7 +83,7 @@
 
     async def read_table(self, path: str = '/_stats') -> Any:
         """Returns what the table counted."""
-        caller = HttpCaller(self.deployment.platform.addresses['table'])
+        caller = HttpClient(self.deployment.platform.addresses['table'])
         try:
             return json.loads((await caller.call('GET', path)).body)
         finally:
@@ -91,7 +91,7 @@
 
     async def set_fault(self, **faults: Any) -> None:
         """Sets the table's faults."""
-        caller = HttpCaller(self.deployment.platform.addresses['table'])
+        caller = HttpClient(self.deployment.platform.addresses['table'])
         try:
             await caller.call('POST', '/_faults', json.dumps(faults).encode())
         finally:
@@ -129,7 +129,7 @@
         callers = []
         for daemon in daemons:
             address = daemon.addresses['operators']
-            callers.append(HttpCaller(f'http://{address}', 30.0))
+            callers.append(HttpClient(f'http://{address}', 30.0))
             stack.callback(callers[-1].close)
         bench = Bench(deployment, daemons, callers)
         await bench.apply(0, 'first')
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -19,7 +19,7 @@
 from lentilmount.clock import ManualClock
 from lentilmount.resources import Room
 from lentilmount.settings import TimeSettings
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.cell import Cell, CellOptions
 from stand_ins.platform import PlatformOptions, make_zones
 from stand_ins.processes import ADMIN_TOKEN, Deployment
@@ -93,7 +93,7 @@
         self, base: str, method: str, path: str, value: Any = None
     ) -> Any:
         """Calls a process and reads its JSON."""
-        caller = HttpCaller(f'http://{base}', 10.0)
+        caller = HttpClient(f'http://{base}', 10.0)
         body = None if value is None else json.dumps(value).encode()
         try:
             answer = await caller.call(method, path, body, AUTHORIZATION)
--- a/lentilmount/batch/links.py
+++ b/lentilmount/batch/links.py
@@ -34,10 +34,10 @@
     AttemptState,
     Command,
     SyncAnswer,
+    SyncClient,
     SyncRequest,
     Usage,
     WorkerError,
-    Workers,
 )
 from lentilmount.waiting import wait_with_timeout
 
@@ -59,7 +59,7 @@
         self,
         name: str,
         ledger: Ledger,
-        workers: Workers,
+        workers: SyncClient,
         options: LinkOptions,
         monotonic: Callable[[], float],
         on_change: Callable[[], None],
@@ -133,7 +133,7 @@
     async def _synchronize(self) -> None:
         sent_at = self._monotonic()
         request = self._make_request(sent_at)
-        if request.gives_leases:
+        if request.extends_leases:
             own = self._orders.get_horizon(sent_at)
             self._own_horizon = max(self._own_horizon, own)
         try:
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -28,7 +28,7 @@
 from lentilmount.events import EventKind, EventLog
 from lentilmount.slices import find_worker_slice
 from lentilmount.upstream.hosts import Host
-from lentilmount.upstream.workers import Workers
+from lentilmount.upstream.workers import SyncClient
 from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('slices')
@@ -67,7 +67,7 @@
     def __init__(
         self,
         table: Table,
-        workers: Workers,
+        workers: SyncClient,
         configuration: Configuration,
         membership: Membership,
         events: EventLog,
--- a/lentilmount/batch/owner.py
+++ b/lentilmount/batch/owner.py
@@ -36,7 +36,7 @@
 from lentilmount.resources import Kind, Phase, ServiceSpec, Urgency
 from lentilmount.slices import find_replica_slice, get_zone
 from lentilmount.upstream.hosts import Host
-from lentilmount.upstream.workers import Workers
+from lentilmount.upstream.workers import SyncClient
 from lentilmount.waiting import wait_with_timeout
 
 log = logbook.Logger('batch')
@@ -77,7 +77,7 @@
         self,
         ledger: Ledger,
         table: Table,
-        workers: Workers,
+        workers: SyncClient,
         configuration: Configuration,
         list_hosts: Callable[[], list[Host]],
         options: OwnerOptions,
--- a/lentilmount/cli/client.py
+++ b/lentilmount/cli/client.py
@@ -19,7 +19,7 @@
     LentilmountError,
     NotFoundError,
 )
-from lentilmount.upstream.http import CURL_ERROR, HttpCaller
+from lentilmount.upstream.http import CURL_ERROR, HttpClient
 
 ROOT = '/v1'
 CALL_SECONDS = 30.0
@@ -51,7 +51,7 @@
         self._server = server
         self._headers = {'Authorization': f'Bearer {token}'}
         self._authority = authority or None
-        self._caller = HttpCaller(server, CALL_SECONDS, authority=authority)
+        self._caller = HttpClient(server, CALL_SECONDS, ca_file=authority)
         self._streams = CurlAsyncHTTPClient(force_instance=True)
 
     async def call(
--- a/lentilmount/control/advice.py
+++ b/lentilmount/control/advice.py
@@ -13,7 +13,7 @@
 import attrs
 import logbook
 
-from lentilmount.platform.advice import AdviceCalls
+from lentilmount.platform.advice import AdviceClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.ranking import sort_steps
@@ -63,7 +63,7 @@
     """
 
     cluster: ClusterState
-    calls: AdviceCalls | None
+    calls: AdviceClient | None
     monotonic: Callable[[], float]
     wake: Callable[[], None]
     _known: dict[Step, _Known] = attrs.Factory(dict)
--- a/lentilmount/control/configuration_relay.py
+++ b/lentilmount/control/configuration_relay.py
@@ -27,7 +27,7 @@
     READ_SECONDS,
     RawRow,
 )
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 
 log = logbook.Logger('configuration')
 
@@ -120,7 +120,7 @@
     host: str
     zone: str
     capacity: Capacity
-    caller: HttpCaller
+    caller: HttpClient
     monotonic: Callable[[], float]
     _known: tuple[str, ...] = ()
     _failed_at: dict[str, float] = attrs.Factory(dict)
@@ -177,7 +177,7 @@
             'GET',
             f'{CONFIGURATION_PATH}?{urllib.parse.urlencode(query)}',
             timeout=wait + ANSWER_SECONDS,
-            most=READ_SECONDS,
+            total_timeout=READ_SECONDS,
             base=f'http://{address}',
         )
         try:
@@ -201,7 +201,7 @@
             )
 
 
-def _decode(answer: Answer, sent_at: float) -> PeerConfiguration:
+def _decode(answer: HttpResponse, sent_at: float) -> PeerConfiguration:
     """Decodes an answer of `ConfigurationHandler`.
 
     Raises:
--- a/lentilmount/control/election.py
+++ b/lentilmount/control/election.py
@@ -30,9 +30,9 @@
     LeaseRecord,
 )
 from lentilmount.coordination.table import UnavailableError
-from lentilmount.platform.advice import AdviceCalls
+from lentilmount.platform.advice import AdviceClient
 from lentilmount.platform.store import PlatformTable
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.scheduling.takeover import InheritedLeases
 
 log = logbook.Logger('campaign')
@@ -108,9 +108,9 @@
     table: PlatformTable
     name: str
     clock: Clock
-    make_calls: Callable[[int], WorkerCalls]
+    make_calls: Callable[[int], WorkerClient]
     is_outage: Callable[[], bool]
-    advice: AdviceCalls | None
+    advice: AdviceClient | None
     metrics: ControlMetrics
     candidates: Candidates
     may_own: Callable[[str], Awaitable[bool]]
--- a/lentilmount/control/job_loader.py
+++ b/lentilmount/control/job_loader.py
@@ -16,9 +16,9 @@
 )
 from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import Key, scan_all
-from lentilmount.platform.documents import restore_job
+from lentilmount.platform.documents import decode_job_row
 from lentilmount.platform.store import (
-    PAGE,
+    PAGE_ROWS,
     PlatformTable,
     RawRow,
     decode_row,
@@ -71,16 +71,16 @@
         """
         jobs = await self.table.read_all(JOBS_TABLE, self.service)
         partition = make_partition(STATES_TABLE, self.service)
-        states = await scan_all(self.table, partition, PAGE)
+        states = await scan_all(self.table, partition, PAGE_ROWS)
         cancelled = []
-        for start in range(0, len(jobs.rows), PAGE):
-            cancelled += self._take_rows(jobs.rows[start : start + PAGE])
+        for start in range(0, len(jobs.rows), PAGE_ROWS):
+            cancelled += self._take_rows(jobs.rows[start : start + PAGE_ROWS])
             # Lets the lease be renewed.
             await asyncio.sleep(0)
         now = self.clock.monotonic()
         lapses_at = now + lapse_seconds
         for number, row in enumerate(states):
-            if number % PAGE == 0:
+            if number % PAGE_ROWS == 0:
                 await asyncio.sleep(0)
             job = self.cluster.jobs.get(row.key.sort)
             if job is not None:
@@ -110,7 +110,7 @@
     def _admit(self, raw: RawRow) -> None:
         key = Key(make_partition(JOBS_TABLE, self.service), raw.key)
         try:
-            spec = restore_job(decode_row(key, raw).body)
+            spec = decode_job_row(decode_row(key, raw).body)
         except (ValueError, TypeError, KeyError) as error:
             log.error('Job {} cannot be read: {!r}', raw.key, error)
             return
--- a/lentilmount/control/lifecycle.py
+++ b/lentilmount/control/lifecycle.py
@@ -46,16 +46,16 @@
     scan_all,
 )
 from lentilmount.coordination.transactions import make_token
-from lentilmount.platform.advice import AdviceCalls
+from lentilmount.platform.advice import AdviceClient
 from lentilmount.platform.host_settings import Address, HostSettings
 from lentilmount.platform.store import (
     CONFIGURATION_TABLE,
-    PAGE,
+    PAGE_ROWS,
     PlatformTable,
     make_partition,
 )
-from lentilmount.platform.workers import WorkerCalls
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.platform.workers import WorkerClient
+from lentilmount.upstream.http import HttpClient
 
 log = logbook.Logger('daemon')
 
@@ -113,10 +113,10 @@
         self._settings = settings
         self._clock = SystemClock()
         self.traffic = Traffic()
-        self.store = HttpCaller(
+        self.store = HttpClient(
             f'http://{settings.store}', STORE_SECONDS, STORE_CALLS
         )
-        self.workers = HttpCaller('', ORDER_SECONDS, WORKER_CALLS)
+        self.workers = HttpClient('', ORDER_SECONDS, WORKER_CALLS)
         self.metrics = ControlMetrics()
         relay = PeerRelay(
             self.workers, self.find_outage_detector, self._clock.monotonic
@@ -141,10 +141,10 @@
             self.workers,
             self._clock.monotonic,
         )
-        self.advice: AdviceCalls | None = None
+        self.advice: AdviceClient | None = None
         if settings.advice is not None:
-            caller = HttpCaller(f'http://{settings.advice}', ADVICE_SECONDS)
-            self.advice = AdviceCalls(caller, ADVICE_SECONDS)
+            caller = HttpClient(f'http://{settings.advice}', ADVICE_SECONDS)
+            self.advice = AdviceClient(caller, ADVICE_SECONDS)
         self.routes = RouteTable(
             self._clock.monotonic,
             settings.times.apply,
@@ -303,7 +303,7 @@
         announced = make_announcement(
             self._peers.own, self._settings.zone, self._settings.capacity
         )
-        rows = await scan_all(self.table, key.partition, PAGE)
+        rows = await scan_all(self.table, key.partition, PAGE_ROWS)
         mine = next((row for row in rows if row.key == key), None)
         if mine is None or mine.body != announced:
             version = mine.version if mine else ABSENT
@@ -342,7 +342,7 @@
             self.table,
             self.name,
             self._clock,
-            lambda epoch: WorkerCalls(self.workers, epoch, ORDER_SECONDS),
+            lambda epoch: WorkerClient(self.workers, epoch, ORDER_SECONDS),
             self.find_outage_detector(service).is_general,
             self.advice,
             self.metrics,
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -23,9 +23,9 @@
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import CLOCK_DRIFT, Lease, LeaseKeeper
-from lentilmount.platform.advice import AdviceCalls
+from lentilmount.platform.advice import AdviceClient
 from lentilmount.platform.store import PlatformTable
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import WorkerHealth
 from lentilmount.scheduling.interference import InterferenceModel
@@ -93,12 +93,12 @@
         table: PlatformTable,
         keeper: LeaseKeeper,
         lease: Lease,
-        calls: WorkerCalls,
+        worker_client: WorkerClient,
         clock: Clock,
         lapse_seconds: float,
         are_all_recorded: bool,
         is_outage: Callable[[], bool],
-        advice: AdviceCalls | None,
+        advice: AdviceClient | None,
         metrics: ControlMetrics,
         inherited: InheritedLeases,
     ):
@@ -108,7 +108,7 @@
         self._settings = settings
         self._table = table
         self._lease = lease
-        self._calls = calls
+        self._worker_client = worker_client
         self._clock = clock
         self._lapse_seconds = lapse_seconds
         self._inherited = inherited
@@ -126,7 +126,7 @@
         )
         self._commands = CommandSender(
             self.cluster,
-            calls,
+            worker_client,
             self.sessions,
             self,
             clock.monotonic,
@@ -328,7 +328,7 @@
         session = WorkerSession(
             worker,
             self.cluster,
-            self._calls,
+            self._worker_client,
             self,
             self._settings.lease_seconds,
             self._clock.monotonic,
--- a/lentilmount/control/registry.py
+++ b/lentilmount/control/registry.py
@@ -10,7 +10,7 @@
 import logbook
 
 from lentilmount.coordination.table import UnavailableError
-from lentilmount.platform.documents import decode_worker
+from lentilmount.platform.documents import decode_registration
 from lentilmount.platform.store import WORKERS_TABLE, PlatformTable
 from lentilmount.scheduling.reports import WorkerEntry
 
@@ -72,7 +72,7 @@
         complete_from = min(complete_from, monotonic() + RETURN_SECONDS)
         seen = set()
         for row in found.rows:
-            entry = decode_worker(row.key, row.value)
+            entry = decode_registration(row.key, row.value)
             if entry is None:
                 if row.key not in unreadable:
                     log.warning('Entry {} names no worker to use.', row.key)
--- a/lentilmount/control/store_health.py
+++ b/lentilmount/control/store_health.py
@@ -13,7 +13,7 @@
 import logbook
 import orjson
 
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 log = logbook.Logger('store')
 
@@ -147,7 +147,7 @@
     """
 
     health: StoreHealth
-    caller: HttpCaller
+    caller: HttpClient
     peers: PeerList
     _confirmed_at: float = -math.inf
     _asked_at: float = -math.inf
--- a/lentilmount/control/store_relay.py
+++ b/lentilmount/control/store_relay.py
@@ -15,8 +15,12 @@
 import logbook
 
 from lentilmount.control.store_health import FindOutageDetector
-from lentilmount.platform.calls import ANSWERED, REFUSED, StoreCall
-from lentilmount.upstream.http import CURL_ERROR, Answer, HttpCaller
+from lentilmount.platform.calls import (
+    ANSWERED_STATUSES,
+    REFUSED_STATUSES,
+    StoreCall,
+)
+from lentilmount.upstream.http import CURL_ERROR, HttpClient, HttpResponse
 
 log = logbook.Logger('detour')
 
@@ -47,7 +51,7 @@
       monotonic: The clock for durations.
     """
 
-    caller: HttpCaller
+    caller: HttpClient
     find_outage_detector: FindOutageDetector
     monotonic: Callable[[], float]
     _used_at: dict[str, float] = attrs.Factory(dict)
@@ -57,13 +61,13 @@
         outage = self.find_outage_detector(part)
         return outage.is_suspected and bool(outage.list_relays())
 
-    async def send(self, call: StoreCall) -> Answer | None:
+    async def send(self, call: StoreCall) -> HttpResponse | None:
         """See `StoreRelay`."""
         helpers = self.find_outage_detector(call.part).list_relays()
         if not helpers:
             return None
         helper = helpers[0]
-        way = WAY_SECONDS if call.most is None else READ_AHEAD_SECONDS
+        way = WAY_SECONDS if call.total_timeout is None else READ_AHEAD_SECONDS
         answer = await self.caller.call(
             call.method,
             RELAY_PREFIX + call.path,
@@ -74,13 +78,13 @@
                 TIMEOUT_HEADER: str(int(1000 * call.timeout)),
             },
             timeout=call.timeout + way,
-            most=call.most,
+            total_timeout=call.total_timeout,
             base=f'http://{helper}',
         )
         self._note(call.part, helper, answer.status)
-        if answer.status in (*ANSWERED, *REFUSED):
+        if answer.status in (*ANSWERED_STATUSES, *REFUSED_STATUSES):
             return answer
-        return Answer(CURL_ERROR, answer.body, {})
+        return HttpResponse(CURL_ERROR, answer.body, {})
 
     def _note(self, part: str, helper: str, status: int) -> None:
         """Logs when the detour begins; `StoreHealth` tells when it ends."""
--- a/lentilmount/control/submissions.py
+++ b/lentilmount/control/submissions.py
@@ -32,7 +32,11 @@
     StoreError,
     UnknownOutcomeError,
 )
-from lentilmount.platform.documents import Route, decode_job, encode_job
+from lentilmount.platform.documents import (
+    Route,
+    decode_submission,
+    encode_job_row,
+)
 from lentilmount.platform.store import RefusedError
 from lentilmount.scheduling.model import JobState
 
@@ -105,9 +109,9 @@
           UnknownOutcomeError: It may have been accepted.
         """
         policy = route.policy
-        spec = decode_job(job_id, body, policy, self.clock.wall())
+        spec = decode_submission(job_id, body, policy, self.clock.wall())
         key = make_job_key(policy.service, job_id)
-        put = Put(key, encode_job(spec), ABSENT)
+        put = Put(key, encode_job_row(spec), ABSENT)
         try:
             with self._reach_store(route):
                 await self._write(put)
--- a/lentilmount/control/worker_commands.py
+++ b/lentilmount/control/worker_commands.py
@@ -15,10 +15,10 @@
     WorkerSession,
 )
 from lentilmount.platform.workers import (
-    OrderAnswer,
-    StartOrder,
-    Verdict,
-    WorkerCalls,
+    CallStatus,
+    CommandAnswer,
+    StartCommand,
+    WorkerClient,
 )
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
@@ -39,7 +39,7 @@
 
     Attributes:
       cluster: Where the tasks are.
-      calls: How workers are called.
+      worker_client: How workers are called.
       sessions: The links, by worker.
       events: Who is told.
       monotonic: The clock for durations.
@@ -49,7 +49,7 @@
     """
 
     cluster: ClusterState
-    calls: WorkerCalls
+    worker_client: WorkerClient
     sessions: dict[str, WorkerSession]
     events: SessionListener
     monotonic: Callable[[], float]
@@ -88,20 +88,20 @@
         is_first = True
         pause = RETRY_SECONDS
         while task.phase is TaskPhase.STARTING and task.run == run:
-            answer = await self.calls.start(session.worker.entry, order)
+            answer = await self.worker_client.start(session.worker.entry, order)
             self._note_answer(session, answer)
             if task.run != run or task.phase is not TaskPhase.STARTING:
                 break
             verdict = answer.verdict
-            if verdict is Verdict.DONE:
+            if verdict is CallStatus.DONE:
                 self.cluster.confirm_start(task, run, self.monotonic())
                 return
-            if verdict is Verdict.FENCED:
+            if verdict is CallStatus.FENCED:
                 self.events.handle_lease_lost(
                     f'{task.worker} knows a higher token'
                 )
                 return
-            if verdict is not Verdict.UNKNOWN:
+            if verdict is not CallStatus.UNKNOWN:
                 self._take_rejection(task, run, verdict, not is_first)
                 return
             is_first = False
@@ -110,10 +110,10 @@
 
     def _make_start(
         self, session: WorkerSession, task: Task, run: int
-    ) -> StartOrder:
+    ) -> StartCommand:
         """Makes a start, of which each copy carries the same deadline."""
         task.start_deadline_ms = session.choose_start_deadline()
-        return StartOrder(
+        return StartCommand(
             task=str(task.id),
             run=run,
             payload=task.job.spec.payload,
@@ -122,12 +122,14 @@
             ticket=self.get_ticket(task, session.worker),
         )
 
-    def _note_answer(self, session: WorkerSession, answer: OrderAnswer) -> None:
+    def _note_answer(
+        self, session: WorkerSession, answer: CommandAnswer
+    ) -> None:
         session.record_command(answer.verdict)
         session.update_clock(answer.clock_ms)
 
     def _take_rejection(
-        self, task: Task, run: int, verdict: Verdict, uncertain: bool
+        self, task: Task, run: int, verdict: CallStatus, uncertain: bool
     ) -> None:
         log.info(
             'Not started: {}.',
@@ -141,7 +143,7 @@
             self.stop(task)
             return
         worker = self.cluster.workers.get(task.worker)
-        if worker is not None and verdict is Verdict.REFUSED:
+        if worker is not None and verdict is CallStatus.REFUSED:
             worker.quarantined_until = self.monotonic() + FORGET_SECONDS
         self.cluster.reject_start(task, run)
         self.wake()
@@ -155,7 +157,7 @@
         while task.phase is TaskPhase.STOPPING and task.run == run:
             sent_at = self.monotonic()
             verdict = await self._send_stop(session, name, run)
-            if verdict is Verdict.FENCED:
+            if verdict is CallStatus.FENCED:
                 return
             session.record_stop(_is_taken(verdict), sent_at)
             if _is_taken(verdict):
@@ -167,11 +169,11 @@
 
     async def _send_stop(
         self, session: WorkerSession, name: str, run: int
-    ) -> Verdict:
+    ) -> CallStatus:
         """Sends a stop once; returns what became of it."""
-        answer = await self.calls.stop(session.worker.entry, name, run)
+        answer = await self.worker_client.stop(session.worker.entry, name, run)
         self._note_answer(session, answer)
-        if answer.verdict is Verdict.FENCED:
+        if answer.verdict is CallStatus.FENCED:
             self.events.handle_lease_lost(
                 f'{session.worker.id} knows a higher token'
             )
@@ -217,17 +219,17 @@
         while task.run == run and task.cpu_percent == percent:
             if not task.phase.is_placed:
                 return
-            answer = await self.calls.pace(
+            answer = await self.worker_client.pace(
                 session.worker.entry, str(task.id), run, percent
             )
             self._note_answer(session, answer)
-            if answer.verdict is not Verdict.UNKNOWN:
+            if answer.verdict is not CallStatus.UNKNOWN:
                 return
             pause = await _back_off(pause)
 
 
-def _is_taken(verdict: Verdict) -> bool:
-    return verdict not in (Verdict.UNKNOWN, Verdict.REFUSED)
+def _is_taken(verdict: CallStatus) -> bool:
+    return verdict not in (CallStatus.UNKNOWN, CallStatus.REFUSED)
 
 
 async def _back_off(pause: float) -> float:
--- a/lentilmount/control/worker_session.py
+++ b/lentilmount/control/worker_session.py
@@ -10,7 +10,7 @@
 import attrs
 import logbook
 
-from lentilmount.platform.workers import Verdict, WorkerCalls
+from lentilmount.platform.workers import CallStatus, WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciliation import Reconciler, ReconcileResult
@@ -78,7 +78,7 @@
     Attributes:
       worker: The worker.
       cluster: Where its tasks are.
-      calls: How it is called.
+      worker_client: How it is called.
       events: Who is told.
       lease_seconds: Longest lease.
       monotonic: The clock for durations.
@@ -91,7 +91,7 @@
 
     worker: Worker
     cluster: ClusterState
-    calls: WorkerCalls
+    worker_client: WorkerClient
     events: SessionListener
     lease_seconds: float
     monotonic: Callable[[], float]
@@ -143,7 +143,7 @@
             await wait_with_timeout(self.end_written, self._choose_pause())
         waits = self.received_end <= self.written_end and self.worker.reachable
         asked_at = self.monotonic()
-        answer = await self.calls.look(
+        answer = await self.worker_client.poll(
             self.worker.entry,
             self.written_end,
             self._choose_renewal(),
@@ -248,12 +248,12 @@
             if is_pending and 0 < task.start_deadline_ms < clock_ms:
                 task.start_expired_at = min(task.start_expired_at, now)
 
-    def record_command(self, verdict: Verdict) -> None:
+    def record_command(self, verdict: CallStatus) -> None:
         """Takes in whether the worker has answered an order."""
         worker = self.worker
-        if verdict is Verdict.REFUSED:
+        if verdict is CallStatus.REFUSED:
             return
-        is_answered = verdict is not Verdict.UNKNOWN
+        is_answered = verdict is not CallStatus.UNKNOWN
         if is_answered and not worker.answers_commands:
             log.info('Takes orders again.', extra={'worker': worker.id})
         elif worker.answers_commands and not is_answered:
@@ -342,8 +342,8 @@
         if tasks:
             self.events.handle_tasks_ended(worker, tasks, why)
 
-    async def _take_failure(self, verdict: Verdict) -> None:
-        if verdict is Verdict.FENCED:
+    async def _take_failure(self, verdict: CallStatus) -> None:
+        if verdict is CallStatus.FENCED:
             self.events.handle_lease_lost(
                 f'{self.worker.id} knows a higher token'
             )
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -32,8 +32,8 @@
 from lentilmount.routing.router import Router
 from lentilmount.settings import Settings
 from lentilmount.slices import get_zone, list_slices
-from lentilmount.upstream.hosts import Hosts
-from lentilmount.upstream.workers import Workers
+from lentilmount.upstream.hosts import HostList
+from lentilmount.upstream.workers import SyncClient
 from lentilmount.wire import peer_pb2
 
 ELIGIBLE_LOOK_SECONDS = 0.5
@@ -58,8 +58,8 @@
     settings: Settings
     clock: Clock
     table: Table
-    hosts: Hosts
-    workers: Workers
+    hosts: HostList
+    workers: SyncClient
     events: EventLog
     configuration: Configuration
     directory: UpstreamDirectory
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -39,9 +39,9 @@
 from lentilmount.routing.forward import CurlForwarder
 from lentilmount.routing.router import Router, RouterOptions
 from lentilmount.settings import Settings
-from lentilmount.upstream.hosts import HttpHosts
+from lentilmount.upstream.hosts import HttpHostList
 from lentilmount.upstream.table import HttpTable
-from lentilmount.upstream.workers import HttpWorkers
+from lentilmount.upstream.workers import HttpSyncClient
 
 log = logbook.Logger('daemon')
 
@@ -74,8 +74,8 @@
         self.directory = UpstreamDirectory()
         self._stack = contextlib.AsyncExitStack()
         self.table = HttpTable(settings.platform.table)
-        self._hosts = HttpHosts(settings.platform.hosts)
-        self._workers = HttpWorkers()
+        self._hosts = HttpHostList(settings.platform.hosts)
+        self._workers = HttpSyncClient()
         self._forwarder = CurlForwarder()
         self.membership = make_membership(settings, clock)
         self.router = Router(
--- a/lentilmount/platform/advice.py
+++ b/lentilmount/platform/advice.py
@@ -5,7 +5,7 @@
 import attrs
 import orjson
 
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 
 @attrs.frozen
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class AdviceCalls:
+class AdviceClient:
     """Calls to the advice service.
 
     Attributes:
@@ -30,7 +30,7 @@
       timeout: Seconds for a call.
     """
 
-    caller: HttpCaller
+    caller: HttpClient
     timeout: float
 
     async def ask(self, step: str, workers: list[str]) -> Tickets | None:
--- a/lentilmount/platform/calls.py
+++ b/lentilmount/platform/calls.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from lentilmount.upstream.http import Answer
+from lentilmount.upstream.http import HttpResponse
 
-ANSWERED = (200, 410, 412)
+ANSWERED_STATUSES = (200, 410, 412)
 """HTTP statuses of a service that works."""
 
-REFUSED = (429, 503)
+REFUSED_STATUSES = (429, 503)
 """HTTP statuses that tell that nothing was done."""
 
 
@@ -26,7 +26,8 @@
       body: Body, if any.
       timeout: Seconds to wait for an answer, or for more of one that was
         read in part.
-      most: Seconds for an answer that keeps arriving; None for `timeout`.
+      total_timeout: Seconds for an answer that keeps arriving; None for
+        `timeout`.
     """
 
     part: str
@@ -34,7 +35,7 @@
     path: str
     body: bytes | None
     timeout: float
-    most: float | None = None
+    total_timeout: float | None = None
 
 
 class StoreRelay(Protocol):
@@ -43,7 +44,7 @@
     def is_preferred(self, part: str) -> bool:
         """Whether the direct way is known to fail."""
 
-    async def send(self, call: StoreCall) -> Answer | None:
+    async def send(self, call: StoreCall) -> HttpResponse | None:
         """Returns an answer, 599 if it was lost; None if there is no way."""
 
 
@@ -54,6 +55,6 @@
         """See `StoreRelay`."""
         return False
 
-    async def send(self, call: StoreCall) -> Answer | None:
+    async def send(self, call: StoreCall) -> HttpResponse | None:
         """See `StoreRelay`."""
         return None
--- a/lentilmount/platform/documents.py
+++ b/lentilmount/platform/documents.py
@@ -20,7 +20,7 @@
 )
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
 
-MOST_TASKS = 10_000
+MAX_TASKS = 10_000
 """Most tasks of one job that are accepted; a bound on the memory of one."""
 
 
@@ -97,7 +97,7 @@
     )
 
 
-def decode_job(
+def decode_submission(
     job_id: str, body: bytes, policy: QueuePolicy, accepted: float
 ) -> JobSpec:
     """Decodes a job that a client hands in.
@@ -129,8 +129,8 @@
     if not isinstance(steps, list) or not steps:
         raise _complain('steps', 'must be a list that is not empty')
     decoded = tuple(_decode_step(n, step) for n, step in enumerate(steps))
-    if sum(step.count for step in decoded) > MOST_TASKS:
-        raise _complain('steps', f'has more than {MOST_TASKS} tasks')
+    if sum(step.count for step in decoded) > MAX_TASKS:
+        raise _complain('steps', f'has more than {MAX_TASKS} tasks')
     try:
         return JobSpec(
             id=job_id,
@@ -186,7 +186,7 @@
     return spec
 
 
-def encode_job(spec: JobSpec) -> dict[str, Any]:
+def encode_job_row(spec: JobSpec) -> dict[str, Any]:
     """Builds the body of a job's row."""
     return attrs.asdict(spec, filter=_is_set)
 
@@ -195,7 +195,7 @@
     return bool(value != attribute.default)
 
 
-def restore_job(body: Mapping[str, Any]) -> JobSpec:
+def decode_job_row(body: Mapping[str, Any]) -> JobSpec:
     """Reads the body of a job's row."""
     steps = tuple(
         StepSpec(
@@ -211,7 +211,7 @@
     return JobSpec(**{**body, 'steps': steps, 'queue': queue})
 
 
-def decode_worker(worker_id: str, value: bytes) -> WorkerEntry | None:
+def decode_registration(worker_id: str, value: bytes) -> WorkerEntry | None:
     """Decodes a registration; None if it names no worker to use."""
     try:
         document = orjson.loads(value)
@@ -240,7 +240,7 @@
         return None
 
 
-def decode_look(body: bytes) -> WorkerReport:
+def decode_worker_report(body: bytes) -> WorkerReport:
     """Decodes a worker's lists.
 
     Raises:
--- a/lentilmount/platform/store.py
+++ b/lentilmount/platform/store.py
@@ -23,13 +23,13 @@
     UnavailableError,
 )
 from lentilmount.platform.calls import (
-    ANSWERED,
-    REFUSED,
+    ANSWERED_STATUSES,
+    REFUSED_STATUSES,
     NoRelay,
     StoreCall,
     StoreRelay,
 )
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 
 CONFIGURATION_TABLE = 'op'
 CONFIGURATION_KEY = 'config'
@@ -42,7 +42,7 @@
 """Time below which a second way is not tried: a call that ran into its timeout
 has used up what its caller waits for."""
 
-PAGE = 150
+PAGE_ROWS = 150
 """Most rows asked for in one answer; the service gives 500. Jobs of 1.1 kB take
 a link of 5 Mbit/s 0.27 s. Fewer would cost a new owner more answers from a slow
 store."""
@@ -155,7 +155,7 @@
 
     def __init__(
         self,
-        caller: HttpCaller,
+        caller: HttpClient,
         timeout: float,
         observe: Observe = lambda part, status, is_good, took: None,
         relay: StoreRelay | None = None,
@@ -179,7 +179,7 @@
         return found
 
     async def scan(
-        self, partition: str, after: str = '', limit: int = PAGE
+        self, partition: str, after: str = '', limit: int = PAGE_ROWS
     ) -> list[Row]:
         """See `Table`."""
         table, part = _split(partition)
@@ -237,7 +237,7 @@
         version = 0
         while len(rows) < limit:
             start = after + '\0' if after else ''
-            most = int(min(PAGE, limit - len(rows)))
+            most = int(min(PAGE_ROWS, limit - len(rows)))
             page = await self._get(table, part, start, '', most)
             rows.extend(page.rows)
             version = version or page.version
@@ -255,7 +255,9 @@
         """
         wait_ms = int(wait * 1000)
         path = f'/rows-feed?table={table}&after={after}&waitMs={wait_ms}'
-        answer = await self._call('GET', path, extra=wait, most=READ_SECONDS)
+        answer = await self._call(
+            'GET', path, extra=wait, total_timeout=READ_SECONDS
+        )
         document = orjson.loads(answer.body)
         rows = tuple(_decode_raw(row) for row in document.get('rows') or ())
         return Changes(rows, int(document['ver']))
@@ -269,8 +271,10 @@
         if end:
             query['to'] = end
         path = '/rows-get?' + urllib.parse.urlencode(query)
-        most = READ_SECONDS if limit > 1 else None
-        answer = await self._call('GET', path, part=part, most=most)
+        total_timeout = READ_SECONDS if limit > 1 else None
+        answer = await self._call(
+            'GET', path, part=part, total_timeout=total_timeout
+        )
         document = orjson.loads(answer.body)
         rows = tuple(_decode_raw(row) for row in document['rows'])
         has_more = bool(document.get('hasMore'))
@@ -284,7 +288,7 @@
         )
         return StoreCall(part, 'GET', f'/rows-get?{query}', None, self._timeout)
 
-    async def send_directly(self, call: StoreCall) -> Answer:
+    async def send_directly(self, call: StoreCall) -> HttpResponse:
         """Sends a call; never raises for a status or a failure."""
         clock = asyncio.get_running_loop()
         sent_at = clock.time()
@@ -294,36 +298,38 @@
             call.body,
             {'Content-Type': 'application/json'},
             timeout=call.timeout,
-            most=call.most,
+            total_timeout=call.total_timeout,
         )
-        is_good = answer.status in ANSWERED
+        is_good = answer.status in ANSWERED_STATUSES
         took = clock.time() - sent_at
         self._observe(call.part, answer.status, is_good, took)
         return answer
 
-    async def _send(self, call: StoreCall) -> Answer:
+    async def _send(self, call: StoreCall) -> HttpResponse:
         """Sends a call on the ways that there are, until one has an answer.
 
         If none has, and one may have delivered the call, its effect is not
         known, whatever the other one was told.
         """
-        ways: list[Callable[[StoreCall], Awaitable[Answer | None]]]
+        ways: list[Callable[[StoreCall], Awaitable[HttpResponse | None]]]
         ways = [self.send_directly, self._detour.send]
         if self._detour.is_preferred(call.part):
             ways.reverse()
         clock = asyncio.get_running_loop()
         end = clock.time() + call.timeout
-        failures: list[Answer] = []
+        failures: list[HttpResponse] = []
         for send in ways:
             left = end - clock.time()
             if failures and left < LEAST_WAY_SECONDS:
                 break
             answer = await send(attrs.evolve(call, timeout=left))
-            if answer is not None and answer.status in ANSWERED:
+            if answer is not None and answer.status in ANSWERED_STATUSES:
                 return answer
             if answer is not None:
                 failures.append(answer)
-        return max(failures, key=lambda answer: answer.status not in REFUSED)
+        return max(
+            failures, key=lambda answer: answer.status not in REFUSED_STATUSES
+        )
 
     async def _call(
         self,
@@ -332,17 +338,19 @@
         body: Any = None,
         extra: float = 0.0,
         part: str = '',
-        most: float | None = None,
-    ) -> Answer:
+        total_timeout: float | None = None,
+    ) -> HttpResponse:
         data = None if body is None else orjson.dumps(body)
-        call = StoreCall(part, method, path, data, self._timeout + extra, most)
+        call = StoreCall(
+            part, method, path, data, self._timeout + extra, total_timeout
+        )
         answer = await self._send(call)
         if answer.status in (200, 412):
             return answer
         name = path.partition('?')[0]
         if answer.status == 410:
             raise HistoryLostError(f'{name}: the history was dropped')
-        if answer.status in REFUSED:
+        if answer.status in REFUSED_STATUSES:
             raise RefusedError(f'{name}: HTTP status {answer.status}')
         detail = answer.body[:200].decode(errors='replace')
         raise UnavailableError(f'{name}: HTTP {answer.status} {detail}')
--- a/lentilmount/platform/workers.py
+++ b/lentilmount/platform/workers.py
@@ -8,14 +8,14 @@
 import attrs
 import orjson
 
-from lentilmount.platform.documents import decode_look
+from lentilmount.platform.documents import decode_worker_report
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 
 EXPECTED_INSTANCE = 'X-Expected-Instance'
 
 
-class Verdict(enum.Enum):
+class CallStatus(enum.Enum):
     """What a worker answered to an order."""
 
     DONE = 'done'
@@ -31,32 +31,32 @@
 
 
 _REASONS = {
-    'fence': Verdict.FENCED,
-    'old': Verdict.STALE_RUN,
-    'late': Verdict.TOO_LATE,
-    'room': Verdict.NO_ROOM,
-    'ticket': Verdict.NO_TICKET,
+    'fence': CallStatus.FENCED,
+    'old': CallStatus.STALE_RUN,
+    'late': CallStatus.TOO_LATE,
+    'room': CallStatus.NO_ROOM,
+    'ticket': CallStatus.NO_TICKET,
 }
 
 _STATUSES = {
-    200: Verdict.DONE,
-    400: Verdict.INVALID,
-    421: Verdict.OTHER_INSTANCE,
-    429: Verdict.REFUSED,
-    503: Verdict.REFUSED,
+    200: CallStatus.DONE,
+    400: CallStatus.INVALID,
+    421: CallStatus.OTHER_INSTANCE,
+    429: CallStatus.REFUSED,
+    503: CallStatus.REFUSED,
 }
 
 
 @attrs.frozen
-class OrderAnswer:
+class CommandAnswer:
     """A worker's answer to an order, and its clock if it told it."""
 
-    verdict: Verdict
+    verdict: CallStatus
     clock_ms: int | None = None
 
 
 @attrs.frozen
-class StartOrder:
+class StartCommand:
     """A run to be started.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 
 @attrs.define
-class WorkerCalls:
+class WorkerClient:
     """Calls with one owner's fencing token.
 
     Attributes:
@@ -86,13 +86,13 @@
       timeout: Seconds for an order.
     """
 
-    caller: HttpCaller
+    caller: HttpClient
     token: int
     timeout: float
 
     async def start(
-        self, worker: WorkerEntry, order: StartOrder
-    ) -> OrderAnswer:
+        self, worker: WorkerEntry, order: StartCommand
+    ) -> CommandAnswer:
         """Starts a run."""
         body: dict[str, Any] = {
             'task': order.task,
@@ -108,25 +108,25 @@
 
     async def stop(
         self, worker: WorkerEntry, task: str, run: int
-    ) -> OrderAnswer:
+    ) -> CommandAnswer:
         """Stops a run, also one that is not there yet."""
         body = {'task': task, 'run': run}
         return await self._order(worker, '/run-stop', body)
 
     async def pace(
         self, worker: WorkerEntry, task: str, run: int, percent: int
-    ) -> OrderAnswer:
+    ) -> CommandAnswer:
         """Lets a run work only for a share of the time."""
         body = {'task': task, 'run': run, 'percent': percent}
         return await self._order(worker, '/pace', body)
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerEntry,
         seen: int,
         lease_until_ms: int | None,
         wait: float,
-    ) -> WorkerReport | Verdict:
+    ) -> WorkerReport | CallStatus:
         """Renews the leases of a worker and asks for its lists.
 
         Args:
@@ -152,13 +152,13 @@
         if answer.status != 200:
             return _read_verdict(answer).verdict
         try:
-            return decode_look(answer.body)
+            return decode_worker_report(answer.body)
         except ValueError:
-            return Verdict.UNKNOWN
+            return CallStatus.UNKNOWN
 
     async def _order(
         self, worker: WorkerEntry, path: str, body: dict[str, Any]
-    ) -> OrderAnswer:
+    ) -> CommandAnswer:
         body['fencingToken'] = self.token
         answer = await self._post(worker, path, body, self.timeout)
         return _read_verdict(answer)
@@ -169,7 +169,7 @@
         path: str,
         body: dict[str, Any],
         timeout: float,
-    ) -> Answer:
+    ) -> HttpResponse:
         return await self.caller.call(
             'POST',
             path,
@@ -183,8 +183,8 @@
         )
 
 
-def _read_verdict(answer: Answer) -> OrderAnswer:
-    verdict = _STATUSES.get(answer.status, Verdict.UNKNOWN)
+def _read_verdict(answer: HttpResponse) -> CommandAnswer:
+    verdict = _STATUSES.get(answer.status, CallStatus.UNKNOWN)
     try:
         document = orjson.loads(answer.body) if answer.body else {}
     except ValueError:
@@ -192,6 +192,6 @@
     if not isinstance(document, dict):
         document = {}
     if answer.status == 409:
-        verdict = _REASONS.get(document.get('reason', ''), Verdict.REFUSED)
+        verdict = _REASONS.get(document.get('reason', ''), CallStatus.REFUSED)
     clock = document.get('clockMs')
-    return OrderAnswer(verdict, clock if isinstance(clock, int) else None)
+    return CommandAnswer(verdict, clock if isinstance(clock, int) else None)
--- a/lentilmount/upstream/hosts.py
+++ b/lentilmount/upstream/hosts.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lentilmount.errors import StoreError
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 
 @attrs.frozen
@@ -30,14 +30,14 @@
     leaving: bool
 
 
-class Hosts(Protocol):
+class HostList(Protocol):
     """The platform's host list."""
 
     async def list_hosts(self) -> list[Host]:
         """Reads the whole list; the same object while it has not changed."""
 
 
-def read_hosts(groups: list[Any]) -> list[Host]:
+def parse_hosts(groups: list[Any]) -> list[Host]:
     """Reads target groups of the protocol."""
     return [
         Host(
@@ -52,23 +52,23 @@
     ]
 
 
-class HttpHosts:
-    """The `Hosts` protocol over HTTP."""
+class HttpHostList:
+    """The `HostList` protocol over HTTP."""
 
     def __init__(self, base: str, timeout: float = 2.0):
-        self._caller = HttpCaller(base, timeout)
+        self._caller = HttpClient(base, timeout)
         self._etag = ''
         self._hosts: list[Host] = []
 
     async def list_hosts(self) -> list[Host]:
-        """See `Hosts`."""
+        """See `HostList`."""
         headers = {'If-None-Match': self._etag} if self._etag else None
         answer = await self._caller.call('GET', '/v1/hosts', headers=headers)
         if answer.status == 304:
             return self._hosts
         if answer.status != 200:
             raise StoreError(f'host list: HTTP status {answer.status}')
-        self._hosts = read_hosts(json.loads(answer.body))
+        self._hosts = parse_hosts(json.loads(answer.body))
         self._etag = answer.headers.get('Etag', '')
         return self._hosts
 
--- a/lentilmount/upstream/http.py
+++ b/lentilmount/upstream/http.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Answer:
+class HttpResponse:
     """An HTTP answer; status 599 where there was none."""
 
     status: int
@@ -87,7 +87,7 @@
             self._timer.cancel()
 
 
-class HttpCaller:
+class HttpClient:
     """Sends requests to one base address.
 
     Args:
@@ -102,10 +102,10 @@
         base: str,
         timeout: float = 5.0,
         clients: int = 32,
-        authority: str = '',
+        ca_file: str = '',
     ):
         self.base = base
-        self._authority = authority or None
+        self._ca_file = ca_file or None
         self.timeout = timeout
         self._client = _Client(force_instance=True, max_clients=clients)
 
@@ -117,8 +117,8 @@
         headers: dict[str, str] | None = None,
         timeout: float | None = None,
         base: str | None = None,
-        most: float | None = None,
-    ) -> Answer:
+        total_timeout: float | None = None,
+    ) -> HttpResponse:
         """Sends one request; never raises for a status or a failure.
 
         Args:
@@ -129,22 +129,24 @@
           timeout: Seconds for the call; the caller's own if None.
           base: Another base address, so that one caller and its connections
             serve many upstreams.
-          most: Seconds for the call as long as its answer keeps arriving;
-            `timeout` is then the longest silence.
+          total_timeout: Seconds for the call as long as its answer keeps
+            arriving; `timeout` is then the longest silence.
         """
         silence = timeout or self.timeout
-        patience = None if most is None else _Patience(self._client, silence)
+        patience = (
+            None if total_timeout is None else _Patience(self._client, silence)
+        )
         request = HTTPRequest(
             (self.base if base is None else base) + path,
             method=method,
             body=body,
             headers={**LEFT_OUT, **(headers or {})},
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=silence if most is None else most,
+            request_timeout=silence if total_timeout is None else total_timeout,
             prepare_curl_callback=patience.begin if patience else None,
             follow_redirects=False,
             decompress_response=False,
-            ca_certs=self._authority,
+            ca_certs=self._ca_file,
             allow_nonstandard_methods=True,
         )
         try:
@@ -152,11 +154,13 @@
                 request, raise_error=False
             )
         except CurlError as error:
-            return Answer(CURL_ERROR, str(error).encode(), {})
+            return HttpResponse(CURL_ERROR, str(error).encode(), {})
         finally:
             if patience is not None:
                 patience.end()
-        return Answer(response.code, response.body or b'', response.headers)
+        return HttpResponse(
+            response.code, response.body or b'', response.headers
+        )
 
     def close(self) -> None:
         """Closes the client's connections."""
--- a/lentilmount/upstream/objects.py
+++ b/lentilmount/upstream/object_store.py
@@ -6,12 +6,12 @@
 from urllib.parse import quote
 
 from lentilmount.errors import StoreError
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 BUCKET = 'lentilmount'
 
 
-class Objects(Protocol):
+class ObjectStore(Protocol):
     """The platform's object store."""
 
     async def put(self, name: str, data: bytes) -> None:
@@ -21,20 +21,20 @@
         """Reads an object, or None where there is none."""
 
 
-class HttpObjects:
-    """The `Objects` protocol over HTTP."""
+class HttpObjectStore:
+    """The `ObjectStore` protocol over HTTP."""
 
     def __init__(self, base: str, timeout: float = 5.0):
-        self._caller = HttpCaller(base, timeout)
+        self._caller = HttpClient(base, timeout)
 
     async def put(self, name: str, data: bytes) -> None:
-        """See `Objects`."""
+        """See `ObjectStore`."""
         answer = await self._caller.call('PUT', self._path(name), data)
         if answer.status != 200:
             raise StoreError(f'object {name}: HTTP status {answer.status}')
 
     async def get(self, name: str) -> bytes | None:
-        """See `Objects`."""
+        """See `ObjectStore`."""
         answer = await self._caller.call('GET', self._path(name))
         if answer.status == 404:
             return None
--- a/lentilmount/upstream/table.py
+++ b/lentilmount/upstream/table.py
@@ -21,7 +21,7 @@
     Row,
     UnavailableError,
 )
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 TABLE_NAME = 'lentilmount'
 CONTENT_TYPE = 'application/x-amz-json-1.0'
@@ -44,7 +44,7 @@
     }
 
 
-def read_item(item: dict[str, Any]) -> Row:
+def parse_item(item: dict[str, Any]) -> Row:
     """Reads the protocol's form of a row."""
     return Row(
         Key(item['p']['S'], item['s']['S']),
@@ -81,7 +81,7 @@
     """The `Table` protocol over HTTP."""
 
     def __init__(self, base: str, timeout: float = 2.0):
-        self._caller = HttpCaller(base, timeout)
+        self._caller = HttpClient(base, timeout)
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
         """See `Table`."""
@@ -96,7 +96,7 @@
             )
             for response in answer['Responses']:
                 if 'Item' in response:
-                    row = read_item(response['Item'])
+                    row = parse_item(response['Item'])
                     found[row.key] = row
         return found
 
@@ -114,7 +114,7 @@
         if after:
             request['ExclusiveStartKey'] = make_key(Key(partition, after))
         answer = await self._call('Query', request)
-        return [read_item(item) for item in answer['Items']]
+        return [parse_item(item) for item in answer['Items']]
 
     async def transact(self, token: str, operations: list[Operation]) -> None:
         """See `Table`."""
--- a/lentilmount/upstream/workers.py
+++ b/lentilmount/upstream/workers.py
@@ -17,7 +17,7 @@
 from lentilmount.codec import decode, encode
 from lentilmount.errors import ErrorKind, LentilmountError
 from lentilmount.resources import Demand, Room
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 
 SYNC_PATH = '/v1/sync'
 
@@ -111,7 +111,7 @@
     with_usage: bool = True
 
     @property
-    def gives_leases(self) -> bool:
+    def extends_leases(self) -> bool:
         """Whether the worker may hold a lease longer for this."""
         return bool(self.commands or self.renew_until)
 
@@ -199,7 +199,7 @@
     kind = ErrorKind.UPSTREAM_FAILED
 
 
-class Workers(Protocol):
+class SyncClient(Protocol):
     """The platform's workers."""
 
     async def sync(self, address: str, request: SyncRequest) -> SyncAnswer:
@@ -210,14 +210,14 @@
         """
 
 
-class HttpWorkers:
-    """The `Workers` protocol over HTTP."""
+class HttpSyncClient:
+    """The `SyncClient` protocol over HTTP."""
 
     def __init__(self, timeout: float = 1.0, clients: int = 64):
-        self._caller = HttpCaller('http://', timeout, clients)
+        self._caller = HttpClient('http://', timeout, clients)
 
     async def sync(self, address: str, request: SyncRequest) -> SyncAnswer:
-        """See `Workers`."""
+        """See `SyncClient`."""
         answer = await self._caller.call(
             'POST', address + SYNC_PATH, encode(request)
         )
--- a/stand_ins/hosts.py
+++ b/stand_ins/hosts.py
@@ -9,7 +9,7 @@
 
 from tornado.web import Application
 
-from lentilmount.upstream.hosts import Host, read_hosts
+from lentilmount.upstream.hosts import Host, parse_hosts
 from stand_ins.faults import FAULTS_PATH, Faults, FaultsHandler, FaultyHandler
 
 
@@ -63,7 +63,7 @@
             for h in hosts.get_newest()
             if h.name != gone
         ]
-        hosts.change(kept + read_hosts(change.get('add', [])))
+        hosts.change(kept + parse_hosts(change.get('add', [])))
         self.reply({'hosts': len(hosts.get_newest())})
 
 
--- a/stand_ins/local.py
+++ b/stand_ins/local.py
@@ -179,7 +179,7 @@
 
 
 class MemoryObjects:
-    """The `Objects` protocol in memory.
+    """The `ObjectStore` protocol in memory.
 
     Attributes:
       down: Whether it answers nobody.
@@ -193,14 +193,14 @@
         self.objects: dict[str, bytes] = {}
 
     async def put(self, name: str, data: bytes) -> None:
-        """See `Objects`."""
+        """See `ObjectStore`."""
         self._check()
         await asyncio.sleep(self.delay)
         self._check()
         self.objects[name] = data
 
     async def get(self, name: str) -> bytes | None:
-        """See `Objects`."""
+        """See `ObjectStore`."""
         self._check()
         return self.objects.get(name)
 
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -15,7 +15,7 @@
 
 from lentilmount.resources import Room
 from lentilmount.upstream.hosts import Host
-from lentilmount.upstream.objects import HttpObjects
+from lentilmount.upstream.object_store import HttpObjectStore
 from stand_ins.attempts import (
     CHECKPOINT_SECONDS,
     TICK_SECONDS,
@@ -106,7 +106,7 @@
         self.objects_address = self._listen(
             make_objects_app(self.objects, self.objects_faults)
         )
-        client = HttpObjects(
+        client = HttpObjectStore(
             self.options.objects or f'http://{self.objects_address}'
         )
         self._stack.callback(client.close)
@@ -133,7 +133,7 @@
         return f'{LOOPBACK}:{socket.getsockname()[1]}'
 
     def _start_worker(
-        self, zone: ZoneOptions, number: int, objects: HttpObjects
+        self, zone: ZoneOptions, number: int, objects: HttpObjectStore
     ) -> Host:
         options = WorkerOptions(
             name=f'{zone.name}-{number:03d}',
--- a/stand_ins/play.py
+++ b/stand_ins/play.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from lentilmount.core import main as run_tool
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.attempts import Run
 from stand_ins.checker import (
     Violation,
@@ -69,8 +69,8 @@
     """
 
     process: Process
-    callers: HttpCaller
-    operators: HttpCaller
+    callers: HttpClient
+    operators: HttpClient
 
 
 @attrs.frozen
@@ -126,8 +126,8 @@
         self.entries.append(
             Entry(
                 process,
-                HttpCaller(callers, 10.0, 256),
-                HttpCaller(operators, 10.0),
+                HttpClient(callers, 10.0, 256),
+                HttpClient(operators, 10.0),
             )
         )
 
@@ -222,7 +222,7 @@
             calls.append(asyncio.create_task(self._call_service(due)))
         await asyncio.gather(*calls)
 
-    def _choose_entry(self) -> HttpCaller:
+    def _choose_entry(self) -> HttpClient:
         return self._random.choice(self.entries).callers
 
     async def _call_service(self, due: float) -> None:
@@ -303,7 +303,7 @@
     """Reads JSON from a stand-in, or sends it some."""
     body = None if value is None else json.dumps(value).encode()
     method = 'GET' if value is None else 'POST'
-    caller = HttpCaller(base)
+    caller = HttpClient(base)
     try:
         return json.loads((await caller.call(method, path, body)).body)
     finally:
--- a/stand_ins/site.py
+++ b/stand_ins/site.py
@@ -23,7 +23,7 @@
     TimeSettings,
 )
 from lentilmount.status import ExitStatus
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 from stand_ins.platform import Platform, PlatformOptions, make_zones
 from stand_ins.processes import hash_token
 
@@ -140,11 +140,11 @@
         token: str = 'admin',
         listener: str = 'operators',
         **headers: str,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Sends a request; header names are given with underscores."""
 
-        async def call() -> Answer:
-            caller = HttpCaller(self.base(listener), 20.0)
+        async def call() -> HttpResponse:
+            caller = HttpClient(self.base(listener), 20.0)
             try:
                 return await caller.call(
                     method,
--- a/stand_ins/table.py
+++ b/stand_ins/table.py
@@ -23,7 +23,7 @@
     Put,
     Row,
 )
-from lentilmount.upstream.table import make_item, read_item
+from lentilmount.upstream.table import make_item, parse_item
 from stand_ins.faults import FAULTS_PATH, Faults, FaultsHandler, FaultyHandler
 
 HISTORY_SIZE = 200_000
@@ -126,7 +126,7 @@
     values = fields.get('ExpressionAttributeValues')
     expected = int(values[':v']['N']) if values else ABSENT
     if name == 'Put':
-        row = read_item(fields['Item'])
+        row = parse_item(fields['Item'])
         return Put(row.key, row.body, expected)
     key = Key(fields['Key']['p']['S'], fields['Key']['s']['S'])
     if name == 'Delete':
--- a/stand_ins/worker.py
+++ b/stand_ins/worker.py
@@ -20,7 +20,7 @@
 
 from lentilmount.codec import encode
 from lentilmount.resources import Demand
-from lentilmount.upstream.objects import Objects
+from lentilmount.upstream.object_store import ObjectStore
 from lentilmount.upstream.workers import (
     Action,
     AttemptReport,
@@ -45,7 +45,7 @@
     def __init__(
         self,
         options: WorkerOptions,
-        objects: Objects,
+        objects: ObjectStore,
         seed: int,
         monotonic: Callable[[], float] = time.monotonic,
     ):
--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -31,8 +31,8 @@
     StoreHealth,
 )
 from lentilmount.platform.store import Changes, PlatformTable
-from lentilmount.platform.workers import WorkerCalls
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.platform.workers import WorkerClient
+from lentilmount.upstream.http import HttpClient
 from stand_ins.fleet import Fleet
 from stand_ins.rowstore import Door, RowStore, make_row_service
 
@@ -275,10 +275,10 @@
 
 def open_store(
     stack: contextlib.AsyncExitStack,
-) -> tuple[RowStore, HttpCaller]:
+) -> tuple[RowStore, HttpClient]:
     """Opens a stand-in of the table service, and what calls it."""
     store = RowStore()
-    caller = HttpCaller(f'http://{serve_store(store, stack, Door())}')
+    caller = HttpClient(f'http://{serve_store(store, stack, Door())}')
     stack.callback(caller.close)
     return store, caller
 
@@ -326,7 +326,7 @@
         table,
         'host-1.a',
         SystemClock(),
-        lambda epoch: WorkerCalls(HttpCaller(''), epoch, 1.0),
+        lambda epoch: WorkerClient(HttpClient(''), epoch, 1.0),
         lambda: False,
         None,
         ControlMetrics(),
@@ -358,4 +358,4 @@
     clock.advance(1.0)
     watch.record(False)
     peers = PeerList('a', ('a', *ages))
-    return ToldOutage(watch, HttpCaller(''), peers, told=ages)
+    return ToldOutage(watch, HttpClient(''), peers, told=ages)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -8,10 +8,10 @@
 
 from lentilmount.clock import ManualClock
 from lentilmount.control.advice import ASKED_WORKERS, Advice
-from lentilmount.platform.advice import AdviceCalls, Tickets
+from lentilmount.platform.advice import AdviceClient, Tickets
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class ToldCalls(AdviceCalls):
+class ToldCalls(AdviceClient):
     """Answers as told.
 
     Attributes:
@@ -41,7 +41,7 @@
     asked: list[list[str]] = attrs.Factory(list)
 
     async def ask(self, step: str, workers: list[str]) -> Tickets | None:
-        """See `AdviceCalls`."""
+        """See `AdviceClient`."""
         self.asked.append(workers)
         if self.is_down:
             return None
@@ -57,7 +57,7 @@
     clock: ManualClock = attrs.Factory(ManualClock)
     cluster: ClusterState = attrs.Factory(ClusterState)
     calls: ToldCalls = attrs.field(
-        factory=lambda: ToldCalls(HttpCaller(''), 1.0)
+        factory=lambda: ToldCalls(HttpClient(''), 1.0)
     )
     woken: list[bool] = attrs.Factory(list)
 
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -21,7 +21,7 @@
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 from tests.platform_scene import listen, make_configuration
 
@@ -64,7 +64,7 @@
     return {'address': address, 'zone': zone, 'link_mbps': link_mbps}
 
 
-def _make_sources(caller: HttpCaller, *addresses: str) -> ConfigurationSources:
+def _make_sources(caller: HttpClient, *addresses: str) -> ConfigurationSources:
     sources = ConfigurationSources('host-1', 'north', SMALL, caller, monotonic)
     sources.update(
         [_announce(address, 100.0, 'north') for address in addresses]
@@ -104,7 +104,7 @@
             [(CONFIGURATION_PATH, ConfigurationHandler, arguments)],
             log_function=lambda handler: None,
         )
-        caller = HttpCaller('')
+        caller = HttpClient('')
         stack.callback(caller.close)
         sources = _make_sources(caller, listen(application, stack))
         own = RouteTable(monotonic, APPLY_SECONDS)
@@ -169,7 +169,7 @@
 def test_a_relay_that_is_gone_is_left_out_for_a_while() -> None:
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            caller = HttpCaller('')
+            caller = HttpClient('')
             stack.callback(caller.close)
             sources = _make_sources(caller, '127.0.0.1:1', '127.0.0.1:2')
             assert await sources.read(0, 0.1) is None
@@ -190,7 +190,7 @@
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            caller = HttpCaller('')
+            caller = HttpClient('')
             stack.callback(caller.close)
             application = Application([(CONFIGURATION_PATH, Nonsense)])
             sources = _make_sources(caller, listen(application, stack))
@@ -201,7 +201,7 @@
 
 def test_only_much_larger_links_of_the_zone_pass_it_on() -> None:
     sources = ConfigurationSources(
-        'host-1', 'north', SMALL, HttpCaller(''), monotonic
+        'host-1', 'north', SMALL, HttpClient(''), monotonic
     )
     sources.update(
         [
@@ -221,7 +221,7 @@
     chosen = set()
     for number in range(30):
         sources = ConfigurationSources(
-            f'h-{number}', 'north', SMALL, HttpCaller(''), monotonic
+            f'h-{number}', 'north', SMALL, HttpClient(''), monotonic
         )
         sources.update(announced)
         chosen.add(sources.choose())
--- a/tests/test_handover_to_larger_host.py
+++ b/tests/test_handover_to_larger_host.py
@@ -27,7 +27,7 @@
 from lentilmount.platform.host_settings import Capacity
 from lentilmount.platform.store import PlatformTable
 from lentilmount.scheduling.placement import Placer
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 from tests.platform_scene import (
     SERVICE,
@@ -93,7 +93,7 @@
 
     async def play() -> bool:
         watch = StoreHealth(SystemClock().monotonic, SERVICE)
-        caller = HttpCaller('')
+        caller = HttpClient('')
         silent = OutageDetector(watch, caller, PeerList('b'))
         application = make_peer_api(
             lambda part: silent,
@@ -144,7 +144,7 @@
     """Adds a daemon that hears the store and never takes a lease."""
     watch = StoreHealth(SystemClock().monotonic, 'desk')
     watch.record(True)
-    outage = OutageDetector(watch, HttpCaller(''), PeerList('b'))
+    outage = OutageDetector(watch, HttpClient(''), PeerList('b'))
     server = HTTPServer(
         make_peer_api(
             lambda part: outage,
--- a/tests/test_http_calls.py
+++ b/tests/test_http_calls.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.resources import Room
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 
 LOOK_BYTES = 210
@@ -27,7 +27,7 @@
 
     server = await asyncio.start_server(answer, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    caller = HttpCaller('')
+    caller = HttpClient('')
     entry = WorkerEntry(
         'i-40bb3c7090',
         1,
@@ -37,7 +37,7 @@
         WorkerState.READY,
         Room(),
     )
-    await WorkerCalls(caller, 1, 1.0).look(entry, 33, 482113, 1.5)
+    await WorkerClient(caller, 1, 1.0).poll(entry, 33, 482113, 1.5)
     caller.close()
     server.close()
     return bytes(heard)
--- a/tests/test_inherited_leases.py
+++ b/tests/test_inherited_leases.py
@@ -10,14 +10,14 @@
 
 from lentilmount.clock import ManualClock
 from lentilmount.control.worker_session import WorkerSession
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Worker
 from lentilmount.scheduling.takeover import (
     apply_lease_seconds,
     list_lease_seconds,
 )
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -120,7 +120,7 @@
     """A worker that carries it out late runs on for the whole lease."""
     clock = ManualClock()
     cluster, worker = make_placed(True, 0.0)
-    calls = WorkerCalls(HttpCaller(''), 1, 1.0)
+    calls = WorkerClient(HttpClient(''), 1, 1.0)
     session = WorkerSession(
         worker,
         cluster,
--- a/tests/test_job_loader.py
+++ b/tests/test_job_loader.py
@@ -10,7 +10,7 @@
 from lentilmount.control.keys import make_cancel_key, make_job_key
 from lentilmount.coordination.table import ABSENT, Put
 from lentilmount.coordination.transactions import make_token
-from lentilmount.platform.documents import encode_job
+from lentilmount.platform.documents import encode_job_row
 from lentilmount.platform.store import PlatformTable
 from lentilmount.scheduling.cluster import ClusterState
 from tests.fleet_scene import make_job
@@ -23,7 +23,7 @@
 async def submit(table: PlatformTable, service: str, job_id: str) -> None:
     """Writes a job as a daemon does that accepts it."""
     put = Put(
-        make_job_key(service, job_id), encode_job(make_job(job_id)), ABSENT
+        make_job_key(service, job_id), encode_job_row(make_job(job_id)), ABSENT
     )
     await table.transact(make_token(), [put])
 
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -23,7 +23,7 @@
 )
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.coordination.leases import CLOCK_DRIFT
-from lentilmount.platform.workers import Verdict, WorkerCalls
+from lentilmount.platform.workers import CallStatus, WorkerClient
 from lentilmount.scheduling.takeover import (
     InheritedLeases,
     UnrecordedStarts,
@@ -31,7 +31,7 @@
     list_unreachable_lease_seconds,
 )
 from lentilmount.scheduling.views import is_open
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 from tests.platform_scene import (
     WAIT_SECONDS,
@@ -128,15 +128,15 @@
     assert took < moment + LONGEST_WAIT_SECONDS + OWNERLESS_SECONDS
 
 
-class _LostCalls(WorkerCalls):
+class _LostCalls(WorkerClient):
     """Calls of which none is answered."""
 
     def __init__(self) -> None:
-        super().__init__(HttpCaller(''), 1, 1.0)
+        super().__init__(HttpClient(''), 1, 1.0)
 
-    async def look(self, *args: object, **options: object) -> Verdict:
-        """See `WorkerCalls`."""
-        return Verdict.UNKNOWN
+    async def poll(self, *args: object, **options: object) -> CallStatus:
+        """See `WorkerClient`."""
+        return CallStatus.UNKNOWN
 
 
 def test_only_workers_that_missed_a_look_are_told_as_silent() -> None:
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -26,7 +26,7 @@
     ListenerTlsSettings,
     TlsSettings,
 )
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.site import Site, run_tool
 
 LOOPBACK = '127.0.0.1'
@@ -231,7 +231,7 @@
             'tls-2', 'lodz', tls=ListenerTlsSettings(callers=tls)
         )
         daemon = await stack.enter_async_context(Daemon(settings))
-        caller = HttpCaller(f'http://{daemon.addresses["callers"]}')
+        caller = HttpClient(f'http://{daemon.addresses["callers"]}')
         answer = await caller.call('GET', '/call/desk/airtime/x')
         caller.close()
         await daemon.stop()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -28,11 +28,11 @@
 )
 from lentilmount.errors import InvalidError, SettingsError
 from lentilmount.platform.documents import (
-    decode_job,
-    decode_look,
-    decode_worker,
-    encode_job,
-    restore_job,
+    decode_job_row,
+    decode_registration,
+    decode_submission,
+    decode_worker_report,
+    encode_job_row,
 )
 from lentilmount.platform.host_settings import decode_host_settings
 from lentilmount.platform.store import (
@@ -92,13 +92,13 @@
         'intervalMs': 1000,
         'startTimeMs': 5000,
     }
-    spec = decode_job('id', orjson.dumps(body), make_policy(), 7.0)
+    spec = decode_submission('id', orjson.dumps(body), make_policy(), 7.0)
     assert spec.steps[0].demand == Room(1.5, 64)
     assert spec.steps[1].reserved == Room(0.0, 32)
     assert spec.steps[1].may_miss == 0
     assert spec.get_due(2) == 7.0
-    row = orjson.loads(orjson.dumps(encode_job(spec)))
-    assert restore_job(row) == spec
+    row = orjson.loads(orjson.dumps(encode_job_row(spec)))
+    assert decode_job_row(row) == spec
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 )
 def test_a_wrong_job_names_its_field(body: bytes, named: str) -> None:
     with pytest.raises(InvalidError) as caught:
-        decode_job('id', body, make_policy(), 0.0)
+        decode_submission('id', body, make_policy(), 0.0)
     assert named in caught.value.detail
 
 
@@ -135,7 +135,7 @@
     ],
 )
 def test_an_unreadable_worker_is_none_to_use(value: bytes) -> None:
-    assert decode_worker('i-1', value) is None
+    assert decode_registration('i-1', value) is None
 
 
 def test_a_leaving_worker_is_read() -> None:
@@ -151,7 +151,7 @@
             'labels': ['a', 'r1-2'],
         }
     )
-    entry = decode_worker('i-1', value)
+    entry = decode_registration('i-1', value)
     assert entry is not None
     assert entry.state is WorkerState.DRAINING
     assert entry.drain_seconds == 2.5
@@ -163,13 +163,13 @@
         b'{"clockMs":7,"born":3,"running":[["j.0.0.1",2,"cp",41,12.5]],'
         b'"ended":[[58,"j.0.0.2",1,"alone",""]]}'
     )
-    look = decode_look(body)
+    look = decode_worker_report(body)
     assert (look.started_ms, look.clock_ms) == (3, 7)
     assert look.running[0].usage == 12.5
     assert look.ended[0].kind is EndKind.ALONE
     for wrong in (b'', b'[]', b'{}', b'{"clockMs":1,"ended":[[1]]}'):
         with pytest.raises(ValueError):
-            decode_look(wrong)
+            decode_worker_report(wrong)
 
 
 def test_an_older_configuration_never_comes_back() -> None:
--- a/tests/test_poll_intervals.py
+++ b/tests/test_poll_intervals.py
@@ -10,12 +10,12 @@
 from lentilmount.clock import ManualClock
 from lentilmount.control import worker_session
 from lentilmount.control.worker_session import WorkerSession
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import add_worker, make_report
 from tests.helpers import run
 
@@ -46,15 +46,15 @@
         return self.renews
 
 
-class _Calls(WorkerCalls):
+class _Calls(WorkerClient):
     """Answers every look at once, and ends the link after a few."""
 
     def __init__(self) -> None:
-        super().__init__(HttpCaller(''), 1, 1.0)
+        super().__init__(HttpClient(''), 1, 1.0)
         self.looks = 0
         self.enough = asyncio.Event()
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerEntry,
         seen: int,
--- a/tests/test_refused_stops.py
+++ b/tests/test_refused_stops.py
@@ -12,10 +12,10 @@
 from lentilmount.control import worker_commands as orders_module
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
-from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
+from lentilmount.platform.workers import CallStatus, CommandAnswer, WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import WorkerEntry
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import add_worker, admit, find_task, make_job, run_task
 from tests.helpers import run
 from tests.test_worker_session import LEASE_SECONDS, IgnoringListener
@@ -23,7 +23,7 @@
 
 def make_command_sender(
     cluster: ClusterState,
-    calls: WorkerCalls,
+    calls: WorkerClient,
     session: WorkerSession,
     started: list[Coroutine[Any, Any, None]],
 ) -> CommandSender:
@@ -40,18 +40,18 @@
     )
 
 
-class _RefusingCalls(WorkerCalls):
+class _RefusingCalls(WorkerClient):
     """Refuses the first stop and takes the next one."""
 
     def __init__(self) -> None:
-        super().__init__(HttpCaller(''), 1, 1.0)
-        self.verdicts = [Verdict.REFUSED, Verdict.DONE]
+        super().__init__(HttpClient(''), 1, 1.0)
+        self.verdicts = [CallStatus.REFUSED, CallStatus.DONE]
 
     async def stop(
         self, worker: WorkerEntry, task: str, run: int
-    ) -> OrderAnswer:
-        """See `WorkerCalls`."""
-        return OrderAnswer(self.verdicts.pop(0))
+    ) -> CommandAnswer:
+        """See `WorkerClient`."""
+        return CommandAnswer(self.verdicts.pop(0))
 
 
 def test_a_stop_that_was_refused_is_sent_again(
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -13,7 +13,7 @@
 from lentilmount.control.keys import make_state_key
 from lentilmount.coordination.table import ABSENT, Put
 from lentilmount.coordination.transactions import make_token
-from lentilmount.platform.store import PAGE
+from lentilmount.platform.store import PAGE_ROWS
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
@@ -91,7 +91,7 @@
 
     async def play() -> int:
         async with open_table() as (_, table):
-            for number in range(3 * PAGE):
+            for number in range(3 * PAGE_ROWS):
                 job_id = f'{number:016x}'
                 await submit(table, 'desk', job_id)
                 put = Put(
@@ -114,7 +114,7 @@
                 await asyncio.sleep(0)
                 seen.append(restored)
             await loading
-            assert restored == 3 * PAGE
+            assert restored == 3 * PAGE_ROWS
             return max(b - a for a, b in zip(seen, seen[1:], strict=False))
 
-    assert run(play()) <= PAGE
+    assert run(play()) <= PAGE_ROWS
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -27,7 +27,7 @@
 from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 from tests.platform_scene import (
     PREFIX,
@@ -86,7 +86,7 @@
         server = await asyncio.start_server(link.answer, '127.0.0.1', 0)
         stack.callback(server.close)
         port = server.sockets[0].getsockname()[1]
-        caller = HttpCaller(f'http://127.0.0.1:{port}')
+        caller = HttpClient(f'http://127.0.0.1:{port}')
         stack.callback(caller.close)
         yield PlatformTable(caller, CALL_SECONDS)
 
@@ -134,7 +134,7 @@
             return Changes((RawRow('config', make_configuration(1), 5),), 5)
 
     async def play() -> None:
-        table = Failing(HttpCaller(''), CALL_SECONDS)
+        table = Failing(HttpClient(''), CALL_SECONDS)
         routes = RouteTable(ManualClock().monotonic, 2.0)
         work = asyncio.create_task(follow_configuration(table, routes))
         while len(asked) < 3:
@@ -170,7 +170,7 @@
             return Changes((RawRow('config', make_configuration(1), 5),), 5)
 
     async def play() -> bool:
-        table = Away(HttpCaller(''), CALL_SECONDS)
+        table = Away(HttpClient(''), CALL_SECONDS)
         work = asyncio.create_task(follow_configuration(table, routes))
         while len(calls) < 3:
             await asyncio.sleep(0)
@@ -200,7 +200,7 @@
                 Traffic(),
                 ControlMetrics(),
             )
-            caller = HttpCaller(f'http://{listen(app, stack)}')
+            caller = HttpClient(f'http://{listen(app, stack)}')
             stack.callback(caller.close)
             statuses = []
             for passed in (1.9, 0.2, 0.0):
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -9,7 +9,7 @@
 
 from lentilmount.coordination.table import Key, Put
 from lentilmount.platform.store import PlatformTable
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 from tests.helpers import run
 
 CALL_SECONDS = 0.1
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False)
-class _SlowCaller(HttpCaller):
+class _SlowCaller(HttpClient):
     """Answers each call after some time.
 
     Attributes:
@@ -28,12 +28,12 @@
     seconds: float
     timeouts: list[float] = attrs.Factory(list)
 
-    async def call(self, *args: object, **options: object) -> Answer:
+    async def call(self, *args: object, **options: object) -> HttpResponse:
         timeout = options['timeout']
         assert isinstance(timeout, float)
         self.timeouts.append(timeout)
         await asyncio.sleep(self.seconds)
-        return Answer(200, b'{"ver":1,"rows":[]}', {})
+        return HttpResponse(200, b'{"ver":1,"rows":[]}', {})
 
 
 PUT = Put(Key('jobs/a', 'x'), {}, 0)
--- a/tests/test_state_writer.py
+++ b/tests/test_state_writer.py
@@ -18,12 +18,12 @@
 from lentilmount.coordination.leases import Lease, LeaseKeeper
 from lentilmount.coordination.table import Key, Operation, Put
 from lentilmount.platform.store import PlatformTable
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import JobState, Task
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -184,7 +184,7 @@
         for number in range(3 * COMMIT_ROWS):
             admit(cluster, make_job(f'job-{number}'))
             cluster.dirty[f'job-{number}'] = None
-        calls = WorkerCalls(HttpCaller(''), 1, 1.0)
+        calls = WorkerClient(HttpClient(''), 1, 1.0)
         session = WorkerSession(
             worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
         )
@@ -217,7 +217,7 @@
         assert lease is not None
         cluster = ClusterState()
         worker = add_worker(cluster, 'w')
-        calls = WorkerCalls(HttpCaller(''), 1, 1.0)
+        calls = WorkerClient(HttpClient(''), 1, 1.0)
         session = WorkerSession(
             worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
         )
--- a/tests/test_store_health.py
+++ b/tests/test_store_health.py
@@ -13,7 +13,7 @@
     StoreHealth,
     probe_store,
 )
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 from tests.platform_scene import make_outage_detector
 
@@ -71,7 +71,7 @@
     watch = StoreHealth(clock.monotonic, 'desk')
     watch.record(True)
     clock.advance(passed)
-    outage = OutageDetector(watch, HttpCaller(''), PeerList('a'))
+    outage = OutageDetector(watch, HttpClient(''), PeerList('a'))
     found: list[str] = []
 
     async def probe(part: str) -> None:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -13,7 +13,7 @@
 from lentilmount.control.store_relay import PeerRelay
 from lentilmount.coordination.table import Key, Put, UnavailableError
 from lentilmount.platform.store import PlatformTable, RefusedError
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 from stand_ins.rowstore import Fault
 from tests.helpers import run
 from tests.platform_scene import (
@@ -30,14 +30,14 @@
 PUT = Put(Key('jobs/desk', FIRST), {}, 0)
 
 
-class FixedCaller(HttpCaller):
+class FixedCaller(HttpClient):
     """Answers as told, one after the other."""
 
     statuses: list[int]
 
-    async def call(self, *args: object, **options: object) -> Answer:
-        """See `HttpCaller`."""
-        return Answer(self.statuses.pop(0), b'{"ver":1}', {})
+    async def call(self, *args: object, **options: object) -> HttpResponse:
+        """See `HttpClient`."""
+        return HttpResponse(self.statuses.pop(0), b'{"ver":1}', {})
 
 
 def make_table(statuses: list[int]) -> PlatformTable:
@@ -131,7 +131,7 @@
                 RouteTable(clock.monotonic, 2.0),
                 lambda: True,
             )
-            caller = HttpCaller(f'http://{listen(application, stack)}')
+            caller = HttpClient(f'http://{listen(application, stack)}')
             stack.callback(caller.close)
             return (await caller.call('GET', path)).status
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -24,7 +24,7 @@
 from lentilmount.errors import Ran, StoreError, UnknownOutcomeError
 from lentilmount.platform.documents import Route
 from lentilmount.platform.store import RefusedError
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import make_policy
 from tests.helpers import run
 
@@ -69,7 +69,7 @@
     """Hands in a job."""
     clock = SystemClock()
     watch = StoreHealth(clock.monotonic, 'desk')
-    outage = OutageDetector(watch, HttpCaller(''), PeerList('a'))
+    outage = OutageDetector(watch, HttpClient(''), PeerList('a'))
     table = ToldTable(list(failures))
     routes = RouteTable(clock.monotonic, 2.0)
     submissions = Submissions(table, routes, clock, lambda part: outage)
--- a/tests/test_table_feed.py
+++ b/tests/test_table_feed.py
@@ -13,7 +13,7 @@
 from lentilmount.control.table_feed import TableFeed
 from lentilmount.coordination.table import UnavailableError, scan_all
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
-from lentilmount.upstream.http import Answer, HttpCaller
+from lentilmount.upstream.http import HttpClient, HttpResponse
 from stand_ins.rowstore import Door, RowStore
 from tests.helpers import run
 from tests.platform_scene import open_table, serve_store
@@ -53,14 +53,14 @@
         return answer
 
 
-class _SizingCaller(HttpCaller):
+class _SizingCaller(HttpClient):
     """Notes how long answers are."""
 
     def __init__(self, base: str):
         super().__init__(base)
         self.sizes: list[int] = []
 
-    async def call(self, *args: Any, **options: Any) -> Answer:
+    async def call(self, *args: Any, **options: Any) -> HttpResponse:
         answer = await super().call(*args, **options)
         self.sizes.append(len(answer.body))
         return answer
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,12 +17,12 @@
 from lentilmount.coordination.leases import Lease, LeaseKeeper
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable
-from lentilmount.platform.workers import WorkerCalls
+from lentilmount.platform.workers import WorkerClient
 from lentilmount.scheduling.model import TaskPhase
 from lentilmount.scheduling.reports import WorkerState
 from lentilmount.scheduling.rows import make_unregistered_worker
 from lentilmount.scheduling.takeover import InheritedLeases
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.rowstore import RowStore
 from tests.fleet_scene import (
     admit,
@@ -67,7 +67,7 @@
         table,
         keeper,
         lease,
-        WorkerCalls(HttpCaller(''), lease.epoch, 1.0),
+        WorkerClient(HttpClient(''), lease.epoch, 1.0),
         SystemClock(),
         1.0,
         True,
--- a/tests/test_unanswered_commands.py
+++ b/tests/test_unanswered_commands.py
@@ -13,7 +13,7 @@
 from lentilmount.clock import ManualClock
 from lentilmount.control import worker_commands as orders_module
 from lentilmount.control.worker_session import WorkerSession
-from lentilmount.platform.workers import OrderAnswer, Verdict, WorkerCalls
+from lentilmount.platform.workers import CallStatus, CommandAnswer, WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.health import (
     MAX_QUARANTINED_SHARE,
@@ -23,7 +23,7 @@
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.fleet import START_PATH, STOP_PATH, FleetWorker
 from tests.fleet_scene import (
     add_worker,
@@ -228,21 +228,21 @@
     assert task.id in cluster.ready
 
 
-class _LossyCalls(WorkerCalls):
+class _LossyCalls(WorkerClient):
     """Loses the answers of the first changes of pace."""
 
     def __init__(self) -> None:
-        super().__init__(HttpCaller(''), 1, 1.0)
-        self.verdicts = [Verdict.UNKNOWN] * LOST_ANSWERS + [Verdict.DONE]
+        super().__init__(HttpClient(''), 1, 1.0)
+        self.verdicts = [CallStatus.UNKNOWN] * LOST_ANSWERS + [CallStatus.DONE]
 
     async def pace(
         self, worker: WorkerEntry, task: str, run: int, percent: int
-    ) -> OrderAnswer:
-        """See `WorkerCalls`."""
-        return OrderAnswer(self.verdicts.pop(0))
+    ) -> CommandAnswer:
+        """See `WorkerClient`."""
+        return CommandAnswer(self.verdicts.pop(0))
 
-    async def look(self, *args: object, **options: object) -> WorkerReport:
-        """See `WorkerCalls`."""
+    async def poll(self, *args: object, **options: object) -> WorkerReport:
+        """See `WorkerClient`."""
         await asyncio.sleep(0.0)
         return make_report()
 
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -14,16 +14,16 @@
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import (
-    OrderAnswer,
-    StartOrder,
-    Verdict,
-    WorkerCalls,
+    CallStatus,
+    CommandAnswer,
+    StartCommand,
+    WorkerClient,
 )
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from tests.fleet_scene import (
     add_worker,
     admit,
@@ -67,7 +67,7 @@
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    calls = WorkerCalls(HttpCaller(''), 1, 1.0)
+    calls = WorkerClient(HttpClient(''), 1, 1.0)
     session = WorkerSession(
         worker,
         cluster,
@@ -108,7 +108,7 @@
         return self.clock.monotonic() < self.until
 
 
-class SilentCalls(WorkerCalls):
+class SilentCalls(WorkerClient):
     """Calls without an answer, each of which takes a while.
 
     Attributes:
@@ -117,25 +117,25 @@
     """
 
     def __init__(self, clock: ManualClock):
-        super().__init__(HttpCaller(''), 1, CALL_SECONDS)
+        super().__init__(HttpClient(''), 1, CALL_SECONDS)
         self.ends: list[int] = []
         self.looks: list[WorkerReport] = []
         self._clock = clock
 
     async def start(
-        self, worker: WorkerEntry, order: StartOrder
-    ) -> OrderAnswer:
-        """See `WorkerCalls`."""
+        self, worker: WorkerEntry, order: StartCommand
+    ) -> CommandAnswer:
+        """See `WorkerClient`."""
         self.ends.append(order.lease_until_ms)
         self._clock.advance(CALL_SECONDS)
-        return OrderAnswer(Verdict.UNKNOWN)
+        return CommandAnswer(CallStatus.UNKNOWN)
 
-    async def look(
+    async def poll(
         self, *args: object, **options: object
-    ) -> WorkerReport | Verdict:
-        """See `WorkerCalls`."""
+    ) -> WorkerReport | CallStatus:
+        """See `WorkerClient`."""
         self._clock.advance(CALL_SECONDS)
-        return self.looks.pop(0) if self.looks else Verdict.UNKNOWN
+        return self.looks.pop(0) if self.looks else CallStatus.UNKNOWN
 
 
 @attrs.define(eq=False)
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -13,7 +13,7 @@
 from lentilmount.daemon.lifecycle import Daemon
 from lentilmount.resources import Room
 from lentilmount.settings import PlatformSettings, Settings, TimeSettings
-from lentilmount.upstream.http import HttpCaller
+from lentilmount.upstream.http import HttpClient
 from stand_ins.platform import Platform, PlatformOptions, make_zones
 from stand_ins.processes import ADMIN, ADMIN_TOKEN
 from stand_ins.relay import Flow, Relay
@@ -69,7 +69,7 @@
         return await self._send('operators', f'/v1/{kind}', body)
 
     async def _send(self, listener: str, path: str, body: bytes) -> int:
-        caller = HttpCaller(f'http://{self.daemon.addresses[listener]}')
+        caller = HttpClient(f'http://{self.daemon.addresses[listener]}')
         try:
             return (await caller.call('POST', path, body, ACCESS)).status
         finally:
