--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -7,7 +7,7 @@
 
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.records import Task
-from lentilmount.batch.states import Move
+from lentilmount.batch.states import Transition
 from lentilmount.resources import Phase
 from stand_ins.slices import MemoryLink, MemorySlice
 
@@ -15,9 +15,9 @@
 class FirstFit:
     """First come, first served, to the first worker with room; no learning."""
 
-    def __init__(self, rows: MemorySlice, links: Mapping[str, MemoryLink]):
+    def __init__(self, rows: MemorySlice, sessions: Mapping[str, MemoryLink]):
         self._rows = rows
-        self._links = links
+        self._sessions = sessions
 
     def act(self, draft: Draft, now: float) -> None:
         """Does what is due before placing: nothing."""
@@ -54,19 +54,19 @@
     def __init__(
         self,
         rows: MemorySlice,
-        links: Mapping[str, MemoryLink],
+        sessions: Mapping[str, MemoryLink],
         base_ms: float,
     ):
-        super().__init__(rows, links)
+        super().__init__(rows, sessions)
         self._base_ms = base_ms
         self._evicted: dict[str, float] = {}
 
     def act(self, draft: Draft, now: float) -> None:
         """Evicts where the last measurement is too high."""
-        for name, link in self._links.items():
-            if not link.usage:
+        for name, session in self._sessions.items():
+            if not session.usage:
                 continue
-            service = link.usage[0]
+            service = session.usage[0]
             at = now - service.age
             if at <= self._evicted.get(name, -math.inf) + self.SETTLE_SECONDS:
                 continue
@@ -83,4 +83,4 @@
                 jobs.append(task)
         if jobs and not draft.is_full:
             largest = max(jobs, key=lambda t: (t.demand.cores, t.id))
-            draft.move(largest, Move.EVICT, reason='too slow')
+            draft.transition(largest, Transition.EVICT, reason='too slow')
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -19,7 +19,7 @@
 from benchmarks.report import Report
 from lentilmount.batch.policy import Policy
 from lentilmount.batch.records import Task
-from lentilmount.batch.states import Move
+from lentilmount.batch.states import Transition
 from lentilmount.clock import ManualClock
 from lentilmount.configuration import Configuration
 from lentilmount.resources import (
@@ -97,7 +97,7 @@
             else Room(32.0, 125_000, 0)
             for number in range(workers)
         )
-        self.links = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
         configuration = Configuration()
         configuration.load(
             1,
@@ -111,7 +111,7 @@
             ],
         )
         self.policy = Policy(
-            self.rows, self.links, configuration, 1, self.clock.monotonic
+            self.rows, self.sessions, configuration, 1, self.clock.monotonic
         )
         self._count = 0
         self._fill(int(SERVICES * part), int(JOBS * part))
@@ -161,7 +161,7 @@
         """Lets a task that was placed run."""
         if task.phase is Phase.STARTING:
             draft = self.rows.begin()
-            draft.move(task, Move.STARTED)
+            draft.transition(task, Transition.STARTED)
             self.rows.apply(draft)
 
     def end_one(self) -> None:
@@ -172,7 +172,7 @@
             if jobs:
                 name = self.rng.choice(jobs).rpartition('#')[0]
                 draft = self.rows.begin()
-                draft.move(self.rows.tasks[name], Move.FINISH)
+                draft.transition(self.rows.tasks[name], Transition.FINISH)
                 self.rows.apply(draft)
                 return
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -18,7 +18,7 @@
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.policy import Policy
 from lentilmount.batch.records import Task
-from lentilmount.batch.states import HOLDING, Move
+from lentilmount.batch.states import COMMITTED_PHASES, Transition
 from lentilmount.clock import ManualClock
 from lentilmount.configuration import Configuration
 from lentilmount.resources import Kind, Metadata, Phase, Resource
@@ -55,7 +55,7 @@
     def __init__(
         self,
         rows: MemorySlice,
-        links: dict[str, MemoryLink],
+        sessions: dict[str, MemoryLink],
         deployment: Deployment,
         clock: ManualClock,
     ):
@@ -65,13 +65,13 @@
         )
         configuration.load(1, [weights])
         self.policy = Policy(
-            rows, links, configuration, 1, clock.monotonic, clock.wall
+            rows, sessions, configuration, 1, clock.monotonic, clock.wall
         )
 
     def act(self, draft: Draft, now: float) -> None:
         """See `Strategy`."""
         plan = self.policy.plan()
-        self.policy.carry_out(draft, plan)
+        self.policy.apply_plan(draft, plan)
 
     def place(self, draft: Draft) -> bool:
         """See `Strategy`."""
@@ -116,7 +116,7 @@
         self.rows.add_workers(
             [deployment.capacity] * deployment.workers, deployment.per_rack
         )
-        self.links = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
         self.fakes = {
             name: FakeWorker(deployment, number, lag, SEED)
             for number, name in enumerate(self.rows.workers)
@@ -141,7 +141,7 @@
                 self.rows.apply(draft)
                 draft = self.rows.begin()
             draft.admit(task)
-            draft.move(draft.place(task, record), Move.STARTED)
+            draft.transition(draft.place(task, record), Transition.STARTED)
         self.rows.apply(draft)
 
     def run(self, strategy: Strategy) -> Result:
@@ -192,7 +192,9 @@
         task = self.rows.tasks[task_id]
         finished = self._progress.get(task_id, 0) >= running.job.seconds
         draft = self.rows.begin()
-        draft.move(task, Move.FINISH if finished else Move.STOPPED)
+        draft.transition(
+            task, Transition.FINISH if finished else Transition.STOPPED
+        )
         self.rows.apply(draft)
         if finished:
             name = running.job.kind.name
@@ -200,13 +202,13 @@
 
     def _synchronize(self, now: float) -> None:
         for name, fake in self.fakes.items():
-            link = self.links[name]
-            link.usage = fake.report(now)
-            for command in link.sent:
+            session = self.sessions[name]
+            session.usage = fake.report(now)
+            for command in session.sent:
                 running = fake.jobs.get(command.task)
                 if running and command.action is Action.THROTTLE:
                     running.share = command.share
-            link.sent.clear()
+            session.sent.clear()
 
     def _decide(self, strategy: Strategy) -> None:
         draft = self.rows.begin()
@@ -232,7 +234,7 @@
             self._by_task[task.id], task.id, task.attempt, task.demand
         )
         draft = self.rows.begin()
-        draft.move(task, Move.STARTED)
+        draft.transition(task, Transition.STARTED)
         self.rows.apply(draft)
 
     def check(self) -> None:
@@ -240,7 +242,9 @@
         for record in self.rows.workers.values():
             free = record.free
             assert min(free.cores + 1e-6, free.memory_mb) >= 0, record.name
-        held = sum(t.phase in HOLDING for t in self.rows.tasks.values())
+        held = sum(
+            t.phase in COMMITTED_PHASES for t in self.rows.tasks.values()
+        )
         assert held == sum(
             len(r.commitments) for r in self.rows.workers.values()
         )
@@ -292,13 +296,13 @@
         exact,
         LAGS[1],
         seconds,
-        lambda world: FirstFit(world.rows, world.links),
+        lambda world: FirstFit(world.rows, world.sessions),
     )
     learned = run_one(
         exact,
         LAGS[1],
         seconds,
-        lambda world: Learned(world.rows, world.links, exact, world.clock),
+        lambda world: Learned(world.rows, world.sessions, exact, world.clock),
     )
     case = f'{exact.name}/true sizes declared'
     report.add(f'{case}/naive/p99 ratio', naive.p99_ms / alone.p99_ms)
@@ -312,7 +316,7 @@
         deployment,
         LAGS[0],
         seconds,
-        lambda world: FirstFit(world.rows, world.links),
+        lambda world: FirstFit(world.rows, world.sessions),
     )
     name = deployment.name
     report.add(f'{name}/alone/p99', alone.p99_ms, 'ms')
@@ -325,7 +329,7 @@
             lag,
             seconds,
             lambda world: ThresholdEvictor(
-                world.rows, world.links, deployment.base_ms
+                world.rows, world.sessions, deployment.base_ms
             ),
         )
         learned = run_one(
@@ -333,7 +337,7 @@
             lag,
             seconds,
             lambda world: Learned(
-                world.rows, world.links, deployment, world.clock
+                world.rows, world.sessions, deployment, world.clock
             ),
         )
         case = f'{name}/lag {lag:.0f} s'
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -15,7 +15,7 @@
 import attrs
 
 from benchmarks.report import Report
-from lentilmount.batch.orders import LinkOptions
+from lentilmount.batch.worker_commands import SessionOptions
 from lentilmount.clock import ManualClock
 from lentilmount.resources import Room
 from lentilmount.settings import TimeSettings
@@ -56,7 +56,7 @@
         workers=60,
         daemons=1,
         capacity=Room(16.0, 64_000, 0),
-        links=LinkOptions(),
+        sessions=SessionOptions(),
         tick_seconds=0.5,
     )
     async with Cell(clock, options) as cell:
--- a/lentilmount/batch/budget.py
+++ b/lentilmount/batch/budget.py
@@ -14,11 +14,11 @@
     evictions are spent, whoever owns the slice.
 
     Attributes:
-      exceeded: Evictions that were spent without a token, for urgent work.
+      forced: Evictions that were spent without a token, for urgent work.
     """
 
     def __init__(self, per_hour: float, now: float):
-        self.exceeded = 0
+        self.forced = 0
         self._per_hour = per_hour
         self._tokens = 0.0
         self._at = now
@@ -54,5 +54,5 @@
         """
         self._fill(now)
         if self._tokens < 1:
-            self.exceeded += 1
+            self.forced += 1
         self._tokens = max(0.0, self._tokens - 1)
--- a/lentilmount/batch/checkpoints.py
+++ b/lentilmount/batch/checkpoints.py
@@ -14,7 +14,7 @@
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.records import Task
 from lentilmount.batch.reports import AttemptKey
-from lentilmount.batch.states import HOLDING
+from lentilmount.batch.states import COMMITTED_PHASES
 from lentilmount.upstream.workers import AttemptReport
 
 NOTE_CHECKPOINT_SECONDS = 300.0
@@ -59,7 +59,11 @@
         for task in due:
             key = (task.id, task.attempt)
             current = draft.get_task(task.id)
-            if draft.is_full or current is None or current.phase not in HOLDING:
+            if (
+                draft.is_full
+                or current is None
+                or current.phase not in COMMITTED_PHASES
+            ):
                 continue
             if current.attempt == task.attempt:
                 draft.set_checkpoint(current, self._newest[key])
--- a/lentilmount/batch/drafts.py
+++ b/lentilmount/batch/drafts.py
@@ -8,7 +8,12 @@
 import attrs
 
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.states import EVENTS, HOLDING, Move, next_phase
+from lentilmount.batch.states import (
+    COMMITTED_PHASES,
+    EVENTS,
+    Transition,
+    next_phase,
+)
 from lentilmount.codec import unstructure
 from lentilmount.coordination.table import MAX_OPERATIONS, Row
 from lentilmount.events import EventKind
@@ -129,7 +134,7 @@
             raise OvercommitError(f'{task.id} does not fit on {worker.name}')
         placed = attrs.evolve(
             task,
-            phase=next_phase(task.phase, Move.PLACE),
+            phase=next_phase(task.phase, Transition.PLACE),
             reason='',
             attempt=task.attempt + 1,
             worker=worker.name,
@@ -141,11 +146,11 @@
         self._note(kind, placed)
         return placed
 
-    def move(self, task: Task, move: Move, **changes: Any) -> Task:
+    def transition(self, task: Task, move: Transition, **changes: Any) -> Task:
         """Makes any other move, releasing the commitment where it ends."""
         phase = next_phase(task.phase, move)
         moved = attrs.evolve(task, phase=phase, **changes)
-        if task.phase in HOLDING and phase not in HOLDING:
+        if task.phase in COMMITTED_PHASES and phase not in COMMITTED_PHASES:
             held = self.get_worker(task.worker)
             self.workers[task.worker] = held.release(task)
             moved = attrs.evolve(moved, endpoint='')
--- a/lentilmount/batch/inbox.py
+++ b/lentilmount/batch/inbox.py
@@ -22,7 +22,7 @@
 """Requests whose order begins with this are answered first."""
 
 
-class Wish(enum.Enum):
+class RequestKind(enum.Enum):
     """What can be asked."""
 
     SUBMIT = 'submit'
@@ -39,7 +39,7 @@
       task: For submit: the task as accepted.
     """
 
-    wish: Wish
+    wish: RequestKind
     task_id: str
     task: Task | None = None
 
@@ -74,6 +74,6 @@
       InvalidError: The row is damaged.
     """
     request = structure(row.body.get('request'), Request)
-    if request.wish is Wish.SUBMIT and request.task is None:
+    if request.wish is RequestKind.SUBMIT and request.task is None:
         raise InvalidError('request: a submit without a task')
     return request
--- a/lentilmount/batch/steering.py
+++ b/lentilmount/batch/interference_control.py
@@ -8,24 +8,24 @@
 
 import attrs
 
+from lentilmount.batch.headroom import Strains
 from lentilmount.batch.interference import InterferenceModel, find_band
 from lentilmount.batch.isolation import (
     LEAST_CHANGE,
     LEAST_SHARE,
-    Evict,
+    EvictAction,
     Isolator,
     Limits,
     Neighbour,
-    Throttle,
+    ThrottleAction,
     make_limits,
     tighten,
 )
 from lentilmount.batch.learning import LEAST_CORES, SizeLearner, name_class
 from lentilmount.batch.occupancy import Occupancy, is_movable
-from lentilmount.batch.overruns import OverrunWatch
+from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.placement import Cost
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.strain import Strains
 from lentilmount.resources import ConfigurationSpec, Phase
 from lentilmount.upstream.workers import Action, Command, Usage
 
@@ -87,7 +87,7 @@
     at: float
 
 
-class Steering:
+class InterferenceController:
     """Keeps services near their speed alone.
 
     Args:
@@ -101,7 +101,7 @@
         self,
         occupancy: Occupancy,
         sizes: SizeLearner,
-        overruns: OverrunWatch,
+        overruns: OverrunDetector,
         try_spend: Callable[[], bool],
     ):
         self.model = InterferenceModel()
@@ -133,7 +133,7 @@
         high = tighten(self._limits, self._lag).high
         self._strains.limit = math.log(high)
 
-    def note_change(self, worker: str) -> None:
+    def invalidate(self, worker: str) -> None:
         """Takes note that other tasks are on a worker."""
         self._strains.drop(worker)
 
@@ -144,34 +144,34 @@
         self._caps.pop(task, None)
         self._strains.forget(task)
 
-    def read(self, link: WorkerLink, now: float) -> list[Evict]:
+    def read(self, session: WorkerLink, now: float) -> list[EvictAction]:
         """Takes in what a worker measured, and acts on it.
 
         Returns:
           The jobs to evict; throttles are sent.
         """
-        if self._read.get(link.name) is link.usage:
+        if self._read.get(session.name) is session.usage:
             return []
-        self._read[link.name] = link.usage
-        evictions: list[Evict] = []
+        self._read[session.name] = session.usage
+        evictions: list[EvictAction] = []
         worst: _Reading | None = None
-        for task, usage in self._list_fresh(link, now):
+        for task, usage in self._list_fresh(session, now):
             if not task.is_service:
-                evictions += self._judge(link, task, usage, now)
+                evictions += self._judge(session, task, usage, now)
                 continue
-            reading = self._learn(link.name, task, usage, now - usage.age)
+            reading = self._learn(session.name, task, usage, now - usage.age)
             if reading and (worst is None or reading.ratio > worst.ratio):
                 worst = reading
         if worst is not None:
             self._lag += LAG_GAIN * (now - worst.at - self._lag)
             self._set_limit()
-            evictions += self._protect(link, worst, now)
+            evictions += self._protect(session, worst, now)
         return evictions
 
     def _list_fresh(
-        self, link: WorkerLink, now: float
+        self, session: WorkerLink, now: float
     ) -> Iterator[tuple[Task, Usage]]:
-        for usage in link.usage:
+        for usage in session.usage:
             task = self._occupancy.get(usage.task)
             if task is None or task.attempt != usage.attempt:
                 continue
@@ -181,8 +181,8 @@
                 yield task, usage
 
     def _judge(
-        self, link: WorkerLink, job: Task, usage: Usage, now: float
-    ) -> list[Evict]:
+        self, session: WorkerLink, job: Task, usage: Usage, now: float
+    ) -> list[EvictAction]:
         # Measured before the throttle changed, or while it did, it would
         # give a wrong size at the share of now.
         settled = self._occupancy.get_throttled_at(job) + WINDOW_SECONDS
@@ -190,31 +190,33 @@
             return []
         share = self._occupancy.get_throttle(job)
         self._sizes.observe(job, usage, share)
-        verdict = self._overruns.judge(job, usage, share, now)
+        verdict = self._overruns.evaluate(job, usage, share, now)
         if verdict is None:
             return []
         if verdict.share < share:
             self._caps[job.id] = verdict.share
-            self.throttle(link, Throttle(job.id, job.attempt, share), now)
+            self.throttle(
+                session, ThrottleAction(job.id, job.attempt, share), now
+            )
         if verdict.move and is_movable(job) and self._try_spend():
-            return [Evict(job.id, job.attempt, OVERRUN)]
+            return [EvictAction(job.id, job.attempt, OVERRUN)]
         return []
 
     def _protect(
-        self, link: WorkerLink, worst: _Reading, now: float
-    ) -> list[Evict]:
+        self, session: WorkerLink, worst: _Reading, now: float
+    ) -> list[EvictAction]:
         acts = self._isolator.decide(
-            link.name,
+            session.name,
             worst.ratio,
             worst.at,
             now,
-            self._list_neighbours(link.name, worst, now),
+            self._list_neighbours(session.name, worst, now),
             tighten(self._limits, self._lag),
         )
         for act in acts:
-            if isinstance(act, Throttle):
-                self.throttle(link, act, now)
-        return [act for act in acts if isinstance(act, Evict)]
+            if isinstance(act, ThrottleAction):
+                self.throttle(session, act, now)
+        return [act for act in acts if isinstance(act, EvictAction)]
 
     def _learn(
         self, worker: str, task: Task, usage: Usage, at: float
@@ -256,7 +258,9 @@
             for job in self._occupancy.list_jobs(worker)
         ]
 
-    def throttle(self, link: WorkerLink, act: Throttle, now: float) -> None:
+    def throttle(
+        self, session: WorkerLink, act: ThrottleAction, now: float
+    ) -> None:
         """Gives a job another share of its processors."""
         job = self._occupancy.get(act.task)
         if job is None or job.attempt != act.attempt:
@@ -264,25 +268,25 @@
         share = min(act.share, self._caps.get(job.id, 1.0))
         self._occupancy.set_throttle(job, share, now)
         self._strains.drop(job.worker)
-        self._send(link, job, share, now)
+        self._send(session, job, share, now)
 
-    def resend(self, links: Mapping[str, WorkerLink], now: float) -> None:
+    def resend(self, sessions: Mapping[str, WorkerLink], now: float) -> None:
         """Sends throttles again that may have been lost."""
         throttled = self._occupancy.list_throttled()
         for job, share in throttled:
             sent = self._sent.get((job.id, job.attempt), -math.inf)
             due = now - sent >= RESEND_SECONDS
-            if due and job.worker in links and job.phase is Phase.RUNNING:
-                self._send(links[job.worker], job, share, now)
+            if due and job.worker in sessions and job.phase is Phase.RUNNING:
+                self._send(sessions[job.worker], job, share, now)
         kept = {(job.id, job.attempt) for job, _ in throttled}
         for key in [k for k in self._sent if k not in kept]:
             del self._sent[key]
 
     def _send(
-        self, link: WorkerLink, job: Task, share: float, now: float
+        self, session: WorkerLink, job: Task, share: float, now: float
     ) -> None:
-        link.send(Command(Action.THROTTLE, job.id, job.attempt, share=share))
-        link.wake()
+        session.send(Command(Action.THROTTLE, job.id, job.attempt, share=share))
+        session.wake()
         self._sent[job.id, job.attempt] = now
 
     def make_cost(self, task: Task, now: float, waited: float = 0.0) -> Cost:
--- a/lentilmount/batch/isolation.py
+++ b/lentilmount/batch/isolation.py
@@ -111,7 +111,7 @@
 
 
 @attrs.frozen
-class Throttle:
+class ThrottleAction:
     """A job is to get another share of its processors."""
 
     task: str
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen
-class Evict:
+class EvictAction:
     """A job is to be checkpointed and evicted."""
 
     task: str
@@ -159,7 +159,7 @@
         now: float,
         neighbours: Sequence[Neighbour],
         limits: Limits,
-    ) -> list[Throttle | Evict]:
+    ) -> list[ThrottleAction | EvictAction]:
         """Decides what one new measurement calls for.
 
         Args:
@@ -194,7 +194,7 @@
         now: float,
         neighbours: Sequence[Neighbour],
         limits: Limits,
-    ) -> list[Throttle | Evict]:
+    ) -> list[ThrottleAction | EvictAction]:
         state.low_since = None
         state.high_count += 1
         able = [n for n in neighbours if n.effect >= TINY_EFFECT]
@@ -217,7 +217,7 @@
             return []
         worst = max(able, key=lambda n: (n.effect * n.share, -n.cost))
         self._change(state, now)
-        return [Evict(worst.task, worst.attempt)]
+        return [EvictAction(worst.task, worst.attempt)]
 
     def _relax(
         self,
@@ -226,7 +226,7 @@
         now: float,
         neighbours: Sequence[Neighbour],
         limits: Limits,
-    ) -> list[Throttle | Evict]:
+    ) -> list[ThrottleAction | EvictAction]:
         throttled = [n for n in neighbours if n.share < 1]
         if not throttled:
             state.low_since = None
@@ -254,7 +254,7 @@
 
 def _share_out(
     wanted: float, neighbours: Sequence[Neighbour]
-) -> list[Throttle]:
+) -> list[ThrottleAction]:
     """Throttles the worst jobs until enough of the slowdown should be gone."""
     throttles = []
     for neighbour in sorted(
@@ -268,11 +268,15 @@
         cut = min(spare, max(wanted / neighbour.effect, LEAST_CHANGE))
         wanted -= cut * neighbour.effect
         share = round(neighbour.share - cut, 3)
-        throttles.append(Throttle(neighbour.task, neighbour.attempt, share))
+        throttles.append(
+            ThrottleAction(neighbour.task, neighbour.attempt, share)
+        )
     return throttles
 
 
-def _give_back(room: float, throttled: Sequence[Neighbour]) -> list[Throttle]:
+def _give_back(
+    room: float, throttled: Sequence[Neighbour]
+) -> list[ThrottleAction]:
     """Gives the quietest jobs processors back while it should do no harm."""
     throttles = []
     for neighbour in sorted(throttled, key=lambda n: n.effect):
@@ -283,5 +287,7 @@
             break
         room -= more * effect
         share = round(neighbour.share + more, 3)
-        throttles.append(Throttle(neighbour.task, neighbour.attempt, share))
+        throttles.append(
+            ThrottleAction(neighbour.task, neighbour.attempt, share)
+        )
     return throttles
--- a/lentilmount/batch/ledger.py
+++ b/lentilmount/batch/ledger.py
@@ -19,8 +19,7 @@
 import logbook
 
 from lentilmount.batch.drafts import Draft, OvercommitError
-from lentilmount.batch.pace import Pace
-from lentilmount.batch.promise import (
+from lentilmount.batch.offline_renewal import (
     INHERITED,
     TASK_LEASE,
     extend,
@@ -36,6 +35,7 @@
     make_task_key,
     make_worker_key,
 )
+from lentilmount.batch.write_limiter import WriteLimiter
 from lentilmount.codec import structure, unstructure
 from lentilmount.coordination.leases import CLOCK_DRIFT, Lease, LeaseKeeper
 from lentilmount.coordination.table import (
@@ -75,7 +75,7 @@
       burst_rows: Rows that may be written at once after a quiet time.
       gather_seconds: Changes within this time share a transaction.
       changes_kept: Entries of the change log kept for those who follow it.
-      promise_seconds: How long leases are renewed without the table.
+      offline_renewal_seconds: How long leases are renewed without the table.
       task_lease_seconds: How long a task runs on without renewal.
     """
 
@@ -83,12 +83,14 @@
     burst_rows: float = 400.0
     gather_seconds: float = 0.2
     changes_kept: int = 2000
-    promise_seconds: float = 600.0
+    offline_renewal_seconds: float = 600.0
     task_lease_seconds: float = 15.0
 
     def extend_promise(self, data: dict[str, Any]) -> dict[str, Any]:
         """Returns a lease's data for a takeover; see `promise`."""
-        return extend(data, self.promise_seconds, self.task_lease_seconds)
+        return extend(
+            data, self.offline_renewal_seconds, self.task_lease_seconds
+        )
 
 
 @attrs.define(eq=False)
@@ -123,7 +125,8 @@
       observers: Called with each task as a transaction left it.
       generation: Raised by each transaction that changed a task or worker.
       unread: Tasks and workers whose rows cannot be read; left alone.
-      promise_seconds: The longest promise that a former owner may be keeping.
+      offline_renewal_seconds: The longest promise that a former owner may be
+        keeping.
       task_lease_seconds: The longest lease that it may have given.
     """
 
@@ -150,19 +153,19 @@
         self._options = options or LedgerOptions()
         self._monotonic = monotonic
         data = lease.data
-        self.promise_seconds = float(data.get(INHERITED, 0.0))
+        self.offline_renewal_seconds = float(data.get(INHERITED, 0.0))
         self.task_lease_seconds = max(
             float(data.get(TASK_LEASE, 0.0)), self._options.task_lease_seconds
         )
         self._settles_at = monotonic() + (
-            self.promise_seconds + self.task_lease_seconds
+            self.offline_renewal_seconds + self.task_lease_seconds
         ) * (1 + CLOCK_DRIFT)
         self._versions: dict[Key, int] = {}
         self._lock = asyncio.Lock()
         self._group: _Group | None = None
         self._commits: set[asyncio.Task[None]] = set()
         self._next_write = monotonic()
-        self._pace = Pace(
+        self._pace = WriteLimiter(
             self._options.rows_per_second, self._options.burst_rows, monotonic
         )
 
@@ -238,7 +241,7 @@
                 options = self._options
                 settle(
                     self.lease.data,
-                    options.promise_seconds,
+                    options.offline_renewal_seconds,
                     options.task_lease_seconds,
                 )
             await self._write([])
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -10,7 +10,7 @@
 
 from lentilmount.batch.ledger import Ledger, LedgerOptions
 from lentilmount.batch.owner import Owner, OwnerOptions
-from lentilmount.batch.preference import Preference, PreferenceOptions
+from lentilmount.batch.ownership import OwnershipOptions, OwnershipPolicy
 from lentilmount.batch.records import make_slice_key
 from lentilmount.configuration import Configuration
 from lentilmount.coordination.leases import (
@@ -75,7 +75,7 @@
         slices_per_zone: int,
         monotonic: Callable[[], float],
         announce_release: Callable[[str], None] = lambda _: None,
-        preference: Preference | None = None,
+        preference: OwnershipPolicy | None = None,
     ):
         self.owners: dict[str, Owner] = {}
         self.hosts: list[Host] = []
@@ -84,8 +84,8 @@
         self._table = table
         self._workers = workers
         self._configuration = configuration
-        self._preference = preference or Preference(
-            membership, PreferenceOptions(options.slices), monotonic
+        self._preference = preference or OwnershipPolicy(
+            membership, OwnershipOptions(options.slices), monotonic
         )
         self._announce_release = announce_release
         self._wakes = {name: asyncio.Event() for name in options.slices}
@@ -106,8 +106,8 @@
         self._ledger_options = LedgerOptions(
             rows_per_second=rows,
             burst_rows=max(rows, MAX_OPERATIONS),
-            promise_seconds=options.links.promise_seconds,
-            task_lease_seconds=options.links.lease_seconds,
+            offline_renewal_seconds=options.sessions.offline_renewal_seconds,
+            task_lease_seconds=options.sessions.lease_seconds,
         )
         self._stopping = False
 
@@ -151,7 +151,7 @@
             self._wakes[slice_name].clear()
 
     async def _is_mine(self, slice_name: str) -> bool:
-        if self._preference.is_first(slice_name):
+        if self._preference.is_preferred(slice_name):
             return True
         if not self._preference.is_candidate(slice_name):
             return False
@@ -162,7 +162,7 @@
         if held and version != self._versions.get(slice_name):
             self._preference.note_held(slice_name)
         self._versions[slice_name] = version
-        return self._preference.should_try(slice_name)
+        return self._preference.should_acquire(slice_name)
 
     @contextlib.asynccontextmanager
     async def _watch(
--- a/lentilmount/batch/occupancy.py
+++ b/lentilmount/batch/occupancy.py
@@ -10,7 +10,7 @@
 
 from lentilmount.batch.learning import name_class
 from lentilmount.batch.records import Task
-from lentilmount.batch.states import HOLDING
+from lentilmount.batch.states import COMMITTED_PHASES
 from lentilmount.resources import Phase
 
 HISTORY_SECONDS = 180.0
@@ -58,10 +58,11 @@
         """
         old = self._held.get(task.id)
         if old is not None and (
-            task.phase not in HOLDING or task.attempt != old.task.attempt
+            task.phase not in COMMITTED_PHASES
+            or task.attempt != old.task.attempt
         ):
             self._drop(old.task)
-        if task.phase in HOLDING:
+        if task.phase in COMMITTED_PHASES:
             self._keep(task, now)
         for worker in {task.worker, old.task.worker if old else ''}:
             if worker:
--- a/lentilmount/batch/promise.py
+++ b/lentilmount/batch/offline_renewal.py
@@ -16,7 +16,7 @@
 
 
 def extend(
-    data: dict[str, Any], promise_seconds: float, lease_seconds: float
+    data: dict[str, Any], offline_renewal_seconds: float, lease_seconds: float
 ) -> dict[str, Any]:
     """Returns a lease's data with promises at least as long as given.
 
@@ -27,17 +27,17 @@
     return {
         **data,
         INHERITED: inherited,
-        PROMISE: max(inherited, promise_seconds),
+        PROMISE: max(inherited, offline_renewal_seconds),
         TASK_LEASE: max(float(data.get(TASK_LEASE, 0.0)), lease_seconds),
     }
 
 
 def settle(
-    data: dict[str, Any], promise_seconds: float, lease_seconds: float
+    data: dict[str, Any], offline_renewal_seconds: float, lease_seconds: float
 ) -> None:
     """Sets the promises to these, once no longer one can be kept."""
     data[INHERITED] = 0.0
-    data[PROMISE] = promise_seconds
+    data[PROMISE] = offline_renewal_seconds
     data[TASK_LEASE] = lease_seconds
 
 
--- a/lentilmount/batch/overruns.py
+++ b/lentilmount/batch/overruns.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Verdict:
+class OverrunAction:
     """What an overrun calls for.
 
     Attributes:
@@ -48,7 +48,7 @@
     move: bool
 
 
-class OverrunWatch:
+class OverrunDetector:
     """Throttles jobs that take too much, and has them moved.
 
     Processors can be taken away, so a job that wants more is throttled to
@@ -72,9 +72,9 @@
         """Drops what is remembered of an attempt that is over."""
         self._overruns.pop((task.id, task.attempt), None)
 
-    def judge(
+    def evaluate(
         self, task: Task, usage: Usage, share: float, now: float
-    ) -> Verdict | None:
+    ) -> OverrunAction | None:
         """Judges one measurement of a job.
 
         Args:
@@ -103,7 +103,7 @@
         move = over_memory or not patient
         if move:
             self._needs[task.id] = _grow(task.demand, overrun)
-        return Verdict(max(LEAST_SHARE, task.demand.cores / cores), move)
+        return OverrunAction(max(LEAST_SHARE, task.demand.cores / cores), move)
 
 
 def _grow(demand: Demand, overrun: _Overrun) -> Demand:
--- a/lentilmount/batch/owner.py
+++ b/lentilmount/batch/owner.py
@@ -13,14 +13,12 @@
 
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.inbox import (
-    Wish,
+    RequestKind,
     is_newer,
     is_urgent,
     read_request,
 )
 from lentilmount.batch.ledger import Ledger
-from lentilmount.batch.links import Link
-from lentilmount.batch.orders import LinkOptions
 from lentilmount.batch.policy import Policy
 from lentilmount.batch.records import (
     Task,
@@ -28,8 +26,10 @@
     make_inbox_partition,
 )
 from lentilmount.batch.retention import Retention
-from lentilmount.batch.shapes import ShapeBoard, publish_shapes
-from lentilmount.batch.states import HOLDING, STOPPING, Move
+from lentilmount.batch.shapes import WorkerShapes, publish_shapes
+from lentilmount.batch.states import COMMITTED_PHASES, STOPPING, Transition
+from lentilmount.batch.worker_commands import SessionOptions
+from lentilmount.batch.worker_session import WorkerSession
 from lentilmount.configuration import Configuration
 from lentilmount.coordination.table import Row, Table, UnavailableError
 from lentilmount.errors import InvalidError
@@ -50,12 +50,12 @@
     """How an owner works.
 
     Attributes:
-      links: Times of the leases of tasks.
+      sessions: Times of the leases of tasks.
       slices: Every slice of the deployment.
       lease_seconds: How long the slice is held without renewal.
     """
 
-    links: LinkOptions
+    sessions: SessionOptions
     slices: tuple[str, ...]
     lease_seconds: float
 
@@ -84,7 +84,7 @@
         monotonic: Callable[[], float],
     ):
         self.ledger = ledger
-        self.links: dict[str, Link] = {}
+        self.sessions: dict[str, WorkerSession] = {}
         self._table = table
         self._workers = workers
         self._configuration = configuration
@@ -97,9 +97,9 @@
         self._running: list[asyncio.Task[None]] = []
         self._stopped = asyncio.Event()
         self.policy = Policy(
-            ledger, self.links, configuration, len(options.slices), monotonic
+            ledger, self.sessions, configuration, len(options.slices), monotonic
         )
-        self._shapes = ShapeBoard(table, options.slices, monotonic)
+        self._shapes = WorkerShapes(table, options.slices, monotonic)
 
     def wake(self) -> None:
         """Makes the owner look at its inbox now."""
@@ -154,17 +154,17 @@
         self._running.append(self._tasks.create_task(work))
 
     def _add_link(self, name: str) -> None:
-        link = Link(
+        session = WorkerSession(
             name,
             self.ledger,
             self._workers,
-            self._options.links,
+            self._options.sessions,
             self._monotonic,
             self.wake,
             self.policy.judge_failure,
         )
-        self.links[name] = link
-        self._start(link.run())
+        self.sessions[name] = session
+        self._start(session.run())
 
     async def _follow_news(self) -> None:
         hosts = self._list_hosts()
@@ -183,7 +183,7 @@
                 while stale and not draft.is_full:
                     draft.set_worker(self._update_worker(stale.pop(), draft))
         for name in self.ledger.workers:
-            if name not in self.links:
+            if name not in self.sessions:
                 self._add_link(name)
 
     def _is_stale(self, host: Host) -> bool:
@@ -245,22 +245,24 @@
             return
         draft.consumed.append(row)
         task = draft.get_task(request.task_id)
-        if request.wish is Wish.SUBMIT and task is None and request.task:
+        if request.wish is RequestKind.SUBMIT and task is None and request.task:
             self._admit(draft, request.task)
-        elif request.wish is Wish.CANCEL and task is not None:
-            draft.move(task, Move.CANCEL, cancel=True, reason='cancelled')
+        elif request.wish is RequestKind.CANCEL and task is not None:
+            draft.transition(
+                task, Transition.CANCEL, cancel=True, reason='cancelled'
+            )
 
     def _admit(self, draft: Draft, task: Task) -> None:
         draft.admit(task)
         shapes = self._shapes.list_shapes(task.zone)
         reason = self.policy.explain_refusal(task, shapes)
         if reason:
-            draft.move(task, Move.REFUSE, reason=reason)
+            draft.transition(task, Transition.REFUSE, reason=reason)
 
     def _wake_stopping(self) -> None:
         for task in self.ledger.tasks.values():
-            if task.phase in STOPPING and task.worker in self.links:
-                self.links[task.worker].wake()
+            if task.phase in STOPPING and task.worker in self.sessions:
+                self.sessions[task.worker].wake()
 
     async def _reconcile_services(self) -> None:
         if not self._configuration.is_ready:
@@ -280,7 +282,9 @@
                 while missing and not draft.is_full:
                     draft.admit(missing.pop())
                 while extra and not draft.is_full:
-                    draft.move(extra.pop(), Move.CANCEL, reason='not wanted')
+                    draft.transition(
+                        extra.pop(), Transition.CANCEL, reason='not wanted'
+                    )
         self._wake_stopping()
 
     def _list_wanted_replicas(self) -> dict[str, Task]:
@@ -319,8 +323,10 @@
                 while moving and not draft.is_full:
                     task = draft.get_task(moving.pop().id)
                     if task and task.phase in (Phase.STARTING, Phase.RUNNING):
-                        draft.move(
-                            task, Move.EVICT, reason='the worker is leaving'
+                        draft.transition(
+                            task,
+                            Transition.EVICT,
+                            reason='the worker is leaving',
                         )
             self._wake_stopping()
 
@@ -339,13 +345,13 @@
                     task_id, reason = hopeless.pop()
                     task = draft.get_task(task_id)
                     if task is not None and task.phase is Phase.PENDING:
-                        draft.move(task, Move.REFUSE, reason=reason)
+                        draft.transition(task, Transition.REFUSE, reason=reason)
 
     async def _enforce(self) -> None:
         plan = self.policy.plan()
         while plan.is_open:
             async with self.ledger.change() as draft:
-                workers = self.policy.carry_out(draft, plan)
+                workers = self.policy.apply_plan(draft, plan)
             self._wake_links(workers)
 
     async def _place(self) -> None:
@@ -358,9 +364,11 @@
             more = placed.more
 
     def _wake_links(self, workers: set[str]) -> None:
-        for name in workers & self.links.keys():
-            self.links[name].wake()
+        for name in workers & self.sessions.keys():
+            self.sessions[name].wake()
 
-    def count_held(self) -> int:
+    def count_committed(self) -> int:
         """Returns how many tasks are committed on workers."""
-        return sum(t.phase in HOLDING for t in self.ledger.tasks.values())
+        return sum(
+            t.phase in COMMITTED_PHASES for t in self.ledger.tasks.values()
+        )
--- a/lentilmount/batch/preference.py
+++ b/lentilmount/batch/ownership.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class PreferenceOptions:
+class OwnershipOptions:
     """When slices change hands.
 
     Attributes:
@@ -32,7 +32,7 @@
     patience_seconds: float = 3.0
 
 
-class Preference:
+class OwnershipPolicy:
     """Tells who should own slices, as this daemon sees it.
 
     Args:
@@ -44,7 +44,7 @@
     def __init__(
         self,
         membership: Membership,
-        options: PreferenceOptions,
+        options: OwnershipOptions,
         monotonic: Callable[[], float],
     ):
         self._membership = membership
@@ -72,7 +72,7 @@
             or membership.list_active(zone)
         )
 
-    def is_first(self, slice_name: str) -> bool:
+    def is_preferred(self, slice_name: str) -> bool:
         """Tells whether this daemon should own a slice."""
         candidates = self.list_candidates(slice_name)
         return candidates[:1] == [self._membership.local_member.name]
@@ -82,7 +82,7 @@
         name = self._membership.local_member.name
         return name in self.list_candidates(slice_name)
 
-    def should_try(self, slice_name: str) -> bool:
+    def should_acquire(self, slice_name: str) -> bool:
         """Tells whether this daemon should try to take a slice now.
 
         The first candidate always does. The others follow one after the
--- a/lentilmount/batch/policy.py
+++ b/lentilmount/batch/policy.py
@@ -16,17 +16,20 @@
 from lentilmount.batch.budget import EvictionBudget
 from lentilmount.batch.drafts import Draft, Rows
 from lentilmount.batch.fairness import FairShare
-from lentilmount.batch.isolation import Evict
+from lentilmount.batch.interference_control import (
+    InterferenceController,
+    WorkerLink,
+)
+from lentilmount.batch.isolation import EvictAction
 from lentilmount.batch.learning import SizeLearner
 from lentilmount.batch.occupancy import Occupancy
-from lentilmount.batch.overruns import OverrunWatch
+from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.placement import explain_refusal
 from lentilmount.batch.quarantine import Quarantine
 from lentilmount.batch.queue import SERVICES
 from lentilmount.batch.records import Task, WorkerRecord
 from lentilmount.batch.scheduler import Placed, Scheduler
-from lentilmount.batch.states import HOLDING, Move
-from lentilmount.batch.steering import Steering, WorkerLink
+from lentilmount.batch.states import COMMITTED_PHASES, Transition
 from lentilmount.configuration import Configuration
 from lentilmount.resources import FINAL_PHASES, Demand, Phase, Room
 from lentilmount.upstream.workers import Action, Command
@@ -44,7 +47,7 @@
       records: Workers whose quarantine begins or ends.
     """
 
-    evictions: list[Evict] = attrs.Factory(list)
+    evictions: list[EvictAction] = attrs.Factory(list)
     records: list[WorkerRecord] = attrs.Factory(list)
 
     @property
@@ -66,7 +69,7 @@
 
     Args:
       ledger: The slice's rows, loaded.
-      links: The links to its workers, by name.
+      sessions: The links to its workers, by name.
       configuration: Teams, and how the deployment weighs things.
       slices: How many slices share the quotas.
       monotonic: The clock for durations.
@@ -76,7 +79,7 @@
     def __init__(
         self,
         ledger: ObservedRows,
-        links: Mapping[str, WorkerLink],
+        sessions: Mapping[str, WorkerLink],
         configuration: Configuration,
         slices: int,
         monotonic: Callable[[], float],
@@ -84,17 +87,17 @@
     ):
         now = monotonic()
         self._ledger = ledger
-        self._links = links
+        self._sessions = sessions
         self._configuration = configuration
         self._monotonic = monotonic
         self._wall = wall
         self.budget = EvictionBudget(0.0, now)
         self.fair = FairShare(configuration.get_team, slices)
         self.occupancy = Occupancy()
-        self.overruns = OverrunWatch()
+        self.overruns = OverrunDetector()
         self.quarantine = Quarantine()
         self.sizes = SizeLearner()
-        self.steering = Steering(
+        self.steering = InterferenceController(
             self.occupancy,
             self.sizes,
             self.overruns,
@@ -115,7 +118,7 @@
         self._inherited = [
             task
             for task in ledger.tasks.values()
-            if _is_job(task) and task.phase in HOLDING
+            if _is_job(task) and task.phase in COMMITTED_PHASES
         ]
         for task in ledger.tasks.values():
             self.note(task)
@@ -129,37 +132,37 @@
         if old is not None and old.attempt != task.attempt:
             self._end(old, task, 0.0)
             old = None
-        if old is None and task.phase in HOLDING:
+        if old is None and task.phase in COMMITTED_PHASES:
             if _is_job(task):
                 self.fair.take(task)
                 self.steering.begin(task, now)
-            self.steering.note_change(task.worker)
-        elif old is not None and task.phase not in HOLDING:
+            self.steering.invalidate(task.worker)
+        elif old is not None and task.phase not in COMMITTED_PHASES:
             self._end(old, task, seconds)
         elif old is not None and old.phase is not task.phase:
-            self.steering.note_change(task.worker)
+            self.steering.invalidate(task.worker)
         if task.phase in FINAL_PHASES:
             self.overruns.forget(task)
         self.scheduler.queue.update(task, now)
 
     def _end(self, old: Task, task: Task, seconds: float) -> None:
-        self.steering.note_change(old.worker)
+        self.steering.invalidate(old.worker)
         self.steering.forget(old.id)
         self.overruns.end(old)
         if not _is_job(old):
             return
         self.fair.give_back(old)
         if task.phase is Phase.COMPLETED:
-            self.quarantine.note_success(old, old.worker)
+            self.quarantine.record_success(old, old.worker)
             if seconds > 0:
                 self.sizes.finish(old, seconds)
         self.sizes.forget(old)
 
     def judge_failure(self, task: Task, worker: str) -> bool:
         """Takes in that an attempt failed; tells whether to give the job up."""
-        self.quarantine.note_failure(task, worker)
+        self.quarantine.record_failure(task, worker)
         failed_on = (*task.failed_on, worker)
-        return not task.is_service and self.quarantine.is_hopeless(
+        return not task.is_service and self.quarantine.should_give_up(
             task, failed_on, len(self._ledger.workers)
         )
 
@@ -210,10 +213,10 @@
         self.budget.set_rate(weights.evictions_per_hour, now)
         self._free_inherited()
         plan = Plan()
-        for link in self._links.values():
-            if link.reachable:
-                plan.evictions += self.steering.read(link, now)
-        self.steering.resend(self._links, now)
+        for session in self._sessions.values():
+            if session.reachable:
+                plan.evictions += self.steering.read(session, now)
+        self.steering.resend(self._sessions, now)
         plan.records = self.quarantine.review(self._ledger.workers, now)
         return plan
 
@@ -222,14 +225,14 @@
         # how far: left alone they would crawl to their ends.
         waiting = []
         for task in self._inherited:
-            link = self._links.get(task.worker)
-            if link is None or not link.reachable:
+            session = self._sessions.get(task.worker)
+            if session is None or not session.reachable:
                 waiting.append(task)
                 continue
-            link.send(Command(Action.THROTTLE, task.id, task.attempt))
+            session.send(Command(Action.THROTTLE, task.id, task.attempt))
         self._inherited = waiting
 
-    def carry_out(self, draft: Draft, plan: Plan) -> set[str]:
+    def apply_plan(self, draft: Draft, plan: Plan) -> set[str]:
         """Writes as much of a plan as fits, and takes it off the plan.
 
         Returns:
@@ -248,7 +251,7 @@
             if task is None or task.attempt != evict.attempt:
                 continue
             if task.phase in (Phase.STARTING, Phase.RUNNING):
-                draft.move(task, Move.EVICT, reason=evict.reason)
+                draft.transition(task, Transition.EVICT, reason=evict.reason)
                 workers.add(task.worker)
         return workers
 
@@ -259,7 +262,9 @@
 
     def place(self, draft: Draft) -> Placed:
         """Places what is pending, as much as fits in one transaction."""
-        reachable = [n for n, link in self._links.items() if link.reachable]
+        reachable = [
+            n for n, session in self._sessions.items() if session.reachable
+        ]
         records = {**self._ledger.workers, **draft.workers}
         now = self._monotonic()
         self.scheduler.synchronize(records, reachable, now)
--- a/lentilmount/batch/quarantine.py
+++ b/lentilmount/batch/quarantine.py
@@ -62,12 +62,12 @@
             collections.defaultdict(set)
         )
 
-    def note_failure(self, task: Task, worker: str) -> None:
+    def record_failure(self, task: Task, worker: str) -> None:
         """Takes in that a job failed on a worker."""
         self._workers[worker].failures[task.resource] = _name(task)
         self._classes[_name(task)].add(worker)
 
-    def note_success(self, task: Task, worker: str) -> None:
+    def record_success(self, task: Task, worker: str) -> None:
         """Takes in that a job completed on a worker."""
         self._classes.pop(_name(task), None)
         state = self._workers[worker]
@@ -97,7 +97,7 @@
             for name in self._workers[worker].failures.values()
         )
 
-    def is_hopeless(
+    def should_give_up(
         self, task: Task, failed_on: tuple[str, ...], workers: int
     ) -> bool:
         """Tells whether a job is at fault itself and is to be given up.
--- a/lentilmount/batch/reports.py
+++ b/lentilmount/batch/reports.py
@@ -8,7 +8,7 @@
 
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.records import Task
-from lentilmount.batch.states import HOLDING, STOPPING, Move
+from lentilmount.batch.states import COMMITTED_PHASES, STOPPING, Transition
 from lentilmount.resources import Phase
 from lentilmount.upstream.workers import AttemptReport, AttemptState, SyncAnswer
 
@@ -19,11 +19,11 @@
 """Told of a failure on a worker, tells whether to give the job up."""
 
 _MOVES_BY_STATE = {
-    AttemptState.RUNNING: Move.STARTED,
-    AttemptState.FINISHED: Move.FINISH,
-    AttemptState.FAILED: Move.FAIL,
-    AttemptState.STOPPED: Move.STOPPED,
-    AttemptState.LAPSED: Move.LOST,
+    AttemptState.RUNNING: Transition.STARTED,
+    AttemptState.FINISHED: Transition.FINISH,
+    AttemptState.FAILED: Transition.FAIL,
+    AttemptState.STOPPED: Transition.STOPPED,
+    AttemptState.LAPSED: Transition.LOST,
 }
 
 
@@ -49,28 +49,28 @@
     task = draft.get_task(task_id)
     if task is None or task.attempt != report.attempt:
         return
-    if task.phase not in HOLDING or task.worker != worker:
+    if task.phase not in COMMITTED_PHASES or task.worker != worker:
         return
     if report.state is AttemptState.RUNNING:
         if task.phase is Phase.STARTING:
-            draft.move(task, Move.STARTED, endpoint=report.endpoint)
+            draft.transition(task, Transition.STARTED, endpoint=report.endpoint)
         return
     move = _MOVES_BY_STATE[report.state]
-    if move is Move.STOPPED and task.phase not in STOPPING:
-        move = Move.LOST
-    if move is Move.FAIL:
+    if move is Transition.STOPPED and task.phase not in STOPPING:
+        move = Transition.LOST
+    if move is Transition.FAIL:
         hopeless = judge_failure(task, worker)
         _apply_failure(draft, task, report, worker, hopeless)
         return
-    evicted = move in (Move.STOPPED, Move.LOST)
-    draft.move(
+    evicted = move in (Transition.STOPPED, Transition.LOST)
+    draft.transition(
         task,
         move,
-        output=report.output if move is Move.FINISH else '',
+        output=report.output if move is Transition.FINISH else '',
         checkpoint=report.checkpoint or task.checkpoint,
         evictions=task.evictions + evicted,
         reason=(report.message or 'lease lapsed')
-        if move is Move.LOST
+        if move is Transition.LOST
         else task.reason,
     )
 
@@ -82,9 +82,9 @@
     worker: str,
     hopeless: bool,
 ) -> None:
-    draft.move(
+    draft.transition(
         task,
-        Move.GIVE_UP if hopeless else Move.FAIL,
+        Transition.GIVE_UP if hopeless else Transition.FAIL,
         failed_on=(*task.failed_on, worker),
         reason=report.message,
         checkpoint=report.checkpoint or task.checkpoint,
--- a/lentilmount/batch/scheduler.py
+++ b/lentilmount/batch/scheduler.py
@@ -12,7 +12,7 @@
 from lentilmount.batch.fairness import FairShare
 from lentilmount.batch.learning import SizeLearner
 from lentilmount.batch.occupancy import Occupancy, is_movable
-from lentilmount.batch.overruns import OverrunWatch
+from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.placement import Cost, WorkerIndex
 from lentilmount.batch.preemption import (
     Reservation,
@@ -22,7 +22,7 @@
 from lentilmount.batch.quarantine import Quarantine
 from lentilmount.batch.queue import BATCH, Group, PendingQueue, Round
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.states import Move
+from lentilmount.batch.states import Transition
 from lentilmount.resources import Demand, Phase, Room
 
 RESERVE_AFTER_SECONDS = 120.0
@@ -63,7 +63,7 @@
         self,
         occupancy: Occupancy,
         sizes: SizeLearner,
-        overruns: OverrunWatch,
+        overruns: OverrunDetector,
         fair: FairShare,
         budget: EvictionBudget,
         quarantine: Quarantine,
@@ -259,8 +259,8 @@
                 done.more = True
                 break
             self._budget.force_spend(now)
-            moved = draft.move(
-                victim, Move.EVICT, reason=f'makes room for {task.id}'
+            moved = draft.transition(
+                victim, Transition.EVICT, reason=f'makes room for {task.id}'
             )
             self._note(moved)
         done.workers.add(chosen.worker)
--- a/lentilmount/batch/shapes.py
+++ b/lentilmount/batch/shapes.py
@@ -40,7 +40,7 @@
     return shape.cores, shape.memory_mb, shape.accelerators
 
 
-class ShapeBoard:
+class WorkerShapes:
     """The shapes of every slice, as last read.
 
     Args:
--- a/lentilmount/batch/states.py
+++ b/lentilmount/batch/states.py
@@ -8,7 +8,7 @@
 from lentilmount.resources import Phase
 
 
-class Move(enum.Enum):
+class Transition(enum.Enum):
     """What can happen to a task."""
 
     PLACE = 'place'
@@ -23,43 +23,43 @@
     REFUSE = 'refuse'
 
 
-MOVES: dict[tuple[Phase, Move], Phase] = {
-    (Phase.PENDING, Move.PLACE): Phase.STARTING,
-    (Phase.PENDING, Move.REFUSE): Phase.REFUSED,
-    (Phase.PENDING, Move.CANCEL): Phase.CANCELLED,
-    (Phase.STARTING, Move.STARTED): Phase.RUNNING,
-    (Phase.STARTING, Move.FINISH): Phase.COMPLETED,
-    (Phase.STARTING, Move.FAIL): Phase.PENDING,
-    (Phase.STARTING, Move.GIVE_UP): Phase.FAILED,
-    (Phase.STARTING, Move.EVICT): Phase.EVICTING,
-    (Phase.STARTING, Move.LOST): Phase.PENDING,
-    (Phase.STARTING, Move.CANCEL): Phase.CANCELLING,
-    (Phase.RUNNING, Move.FINISH): Phase.COMPLETED,
-    (Phase.RUNNING, Move.FAIL): Phase.PENDING,
-    (Phase.RUNNING, Move.GIVE_UP): Phase.FAILED,
-    (Phase.RUNNING, Move.EVICT): Phase.EVICTING,
-    (Phase.RUNNING, Move.LOST): Phase.PENDING,
-    (Phase.RUNNING, Move.CANCEL): Phase.CANCELLING,
+MOVES: dict[tuple[Phase, Transition], Phase] = {
+    (Phase.PENDING, Transition.PLACE): Phase.STARTING,
+    (Phase.PENDING, Transition.REFUSE): Phase.REFUSED,
+    (Phase.PENDING, Transition.CANCEL): Phase.CANCELLED,
+    (Phase.STARTING, Transition.STARTED): Phase.RUNNING,
+    (Phase.STARTING, Transition.FINISH): Phase.COMPLETED,
+    (Phase.STARTING, Transition.FAIL): Phase.PENDING,
+    (Phase.STARTING, Transition.GIVE_UP): Phase.FAILED,
+    (Phase.STARTING, Transition.EVICT): Phase.EVICTING,
+    (Phase.STARTING, Transition.LOST): Phase.PENDING,
+    (Phase.STARTING, Transition.CANCEL): Phase.CANCELLING,
+    (Phase.RUNNING, Transition.FINISH): Phase.COMPLETED,
+    (Phase.RUNNING, Transition.FAIL): Phase.PENDING,
+    (Phase.RUNNING, Transition.GIVE_UP): Phase.FAILED,
+    (Phase.RUNNING, Transition.EVICT): Phase.EVICTING,
+    (Phase.RUNNING, Transition.LOST): Phase.PENDING,
+    (Phase.RUNNING, Transition.CANCEL): Phase.CANCELLING,
     # A task may finish or fail while it is being stopped: what the worker
     # says it did is what counts, so finished work is never run again.
-    (Phase.EVICTING, Move.FINISH): Phase.COMPLETED,
-    (Phase.EVICTING, Move.FAIL): Phase.PENDING,
-    (Phase.EVICTING, Move.GIVE_UP): Phase.FAILED,
-    (Phase.EVICTING, Move.STOPPED): Phase.PENDING,
-    (Phase.EVICTING, Move.LOST): Phase.PENDING,
-    (Phase.EVICTING, Move.CANCEL): Phase.CANCELLING,
-    (Phase.CANCELLING, Move.FINISH): Phase.COMPLETED,
-    (Phase.CANCELLING, Move.FAIL): Phase.CANCELLED,
-    (Phase.CANCELLING, Move.GIVE_UP): Phase.CANCELLED,
-    (Phase.CANCELLING, Move.STOPPED): Phase.CANCELLED,
-    (Phase.CANCELLING, Move.LOST): Phase.CANCELLED,
+    (Phase.EVICTING, Transition.FINISH): Phase.COMPLETED,
+    (Phase.EVICTING, Transition.FAIL): Phase.PENDING,
+    (Phase.EVICTING, Transition.GIVE_UP): Phase.FAILED,
+    (Phase.EVICTING, Transition.STOPPED): Phase.PENDING,
+    (Phase.EVICTING, Transition.LOST): Phase.PENDING,
+    (Phase.EVICTING, Transition.CANCEL): Phase.CANCELLING,
+    (Phase.CANCELLING, Transition.FINISH): Phase.COMPLETED,
+    (Phase.CANCELLING, Transition.FAIL): Phase.CANCELLED,
+    (Phase.CANCELLING, Transition.GIVE_UP): Phase.CANCELLED,
+    (Phase.CANCELLING, Transition.STOPPED): Phase.CANCELLED,
+    (Phase.CANCELLING, Transition.LOST): Phase.CANCELLED,
     # Repeated wishes change nothing.
-    (Phase.EVICTING, Move.EVICT): Phase.EVICTING,
-    (Phase.CANCELLING, Move.EVICT): Phase.CANCELLING,
-    (Phase.CANCELLING, Move.CANCEL): Phase.CANCELLING,
+    (Phase.EVICTING, Transition.EVICT): Phase.EVICTING,
+    (Phase.CANCELLING, Transition.EVICT): Phase.CANCELLING,
+    (Phase.CANCELLING, Transition.CANCEL): Phase.CANCELLING,
 }
 
-HOLDING = frozenset(
+COMMITTED_PHASES = frozenset(
     {Phase.STARTING, Phase.RUNNING, Phase.EVICTING, Phase.CANCELLING}
 )
 """Phases in which an attempt is committed on a worker."""
@@ -67,17 +67,17 @@
 STOPPING = frozenset({Phase.EVICTING, Phase.CANCELLING})
 """Phases in which the worker is to be told to stop."""
 
-EVENTS: dict[Move, EventKind] = {
-    Move.PLACE: EventKind.PLACED,
-    Move.STARTED: EventKind.RUNNING,
-    Move.FINISH: EventKind.COMPLETED,
-    Move.FAIL: EventKind.FAILED,
-    Move.GIVE_UP: EventKind.FAILED,
-    Move.EVICT: EventKind.EVICTED,
-    Move.STOPPED: EventKind.STOPPED,
-    Move.LOST: EventKind.LOST,
-    Move.CANCEL: EventKind.CANCELLED,
-    Move.REFUSE: EventKind.REFUSED,
+EVENTS: dict[Transition, EventKind] = {
+    Transition.PLACE: EventKind.PLACED,
+    Transition.STARTED: EventKind.RUNNING,
+    Transition.FINISH: EventKind.COMPLETED,
+    Transition.FAIL: EventKind.FAILED,
+    Transition.GIVE_UP: EventKind.FAILED,
+    Transition.EVICT: EventKind.EVICTED,
+    Transition.STOPPED: EventKind.STOPPED,
+    Transition.LOST: EventKind.LOST,
+    Transition.CANCEL: EventKind.CANCELLED,
+    Transition.REFUSE: EventKind.REFUSED,
 }
 
 
@@ -85,7 +85,7 @@
     """A move that the task's phase does not allow."""
 
 
-def next_phase(phase: Phase, move: Move) -> Phase:
+def next_phase(phase: Phase, move: Transition) -> Phase:
     """Looks a move up.
 
     Raises:
--- a/lentilmount/batch/orders.py
+++ b/lentilmount/batch/worker_commands.py
@@ -24,21 +24,21 @@
 
 
 @attrs.frozen
-class LinkOptions:
+class SessionOptions:
     """Times of the leases that workers hold tasks under.
 
     Attributes:
       sync_seconds: How often a worker is called when nothing happens.
       lease_seconds: How long a task runs on without renewal.
       start_seconds: How late a start may take effect.
-      promise_seconds: How long leases are renewed without the table.
+      offline_renewal_seconds: How long leases are renewed without the table.
       usage_seconds: Between two readings of a worker's measurements.
     """
 
     sync_seconds: float = 2.0
     lease_seconds: float = 15.0
     start_seconds: float = 5.0
-    promise_seconds: float = 600.0
+    offline_renewal_seconds: float = 600.0
     usage_seconds: float = 0.0
 
 
@@ -51,7 +51,7 @@
     local: float
 
 
-class Orders:
+class WorkerCommands:
     """Builds the commands for one worker, and keeps what was sent.
 
     Args:
@@ -59,15 +59,15 @@
       options: Times of the leases of tasks.
 
     Attributes:
-      anchor: The worker's clock, once it has answered.
+      clock_sample: The worker's clock, once it has answered.
       ending: Attempts that are being given up. They get no command any more:
         the transaction may apply at any later time, so a worker that comes
         back meanwhile must not begin or go on with them.
       refused: Attempts that the worker refused to start.
     """
 
-    def __init__(self, lease: Lease, options: LinkOptions):
-        self.anchor: Anchor | None = None
+    def __init__(self, lease: Lease, options: SessionOptions):
+        self.clock_sample: Anchor | None = None
         self.ending: set[AttemptKey] = set()
         self.refused: set[AttemptKey] = set()
         self._lease = lease
@@ -78,7 +78,7 @@
         self._saved: dict[AttemptKey, float] = {}
 
     def add(self, command: Command) -> None:
-        """Keeps a command until it is answered; see `Link.send`."""
+        """Keeps a command until it is answered; see `WorkerSession.send`."""
         key = (command.action, command.task, command.attempt)
         self._orders[key] = command
 
@@ -86,7 +86,7 @@
         self, request: SyncRequest, answer: SyncAnswer, now: float
     ) -> None:
         """Takes in the worker's clock and the outcomes of commands."""
-        self.anchor = Anchor(answer.boot, answer.clock, now)
+        self.clock_sample = Anchor(answer.boot, answer.clock, now)
         for command, outcome in zip(
             request.commands, answer.outcomes, strict=False
         ):
@@ -110,9 +110,9 @@
         """Returns when a renewed lease ends, on the worker's clock."""
         return self._read_clock(now) + self._options.lease_seconds
 
-    def get_horizon(self, now: float) -> float:
+    def get_latest_expiry(self, now: float) -> float:
         """Returns when the leases given now will surely have ended."""
-        age = now - self.anchor.local if self.anchor else 0.0
+        age = now - self.clock_sample.local if self.clock_sample else 0.0
         lease = self._options.lease_seconds + age * CLOCK_DRIFT
         return now + lease * (1 + CLOCK_DRIFT)
 
@@ -134,16 +134,16 @@
         return tuple(commands)
 
     def _read_clock(self, now: float) -> float:
-        assert self.anchor is not None
-        return self.anchor.remote + (now - self.anchor.local)
+        assert self.clock_sample is not None
+        return self.clock_sample.remote + (now - self.clock_sample.local)
 
     def _make_commands(self, task: Task, now: float) -> list[Command]:
-        assert self.anchor is not None
+        assert self.clock_sample is not None
         key = (task.id, task.attempt)
         # An attempt belongs to one boot of its worker. After a restart the
         # table will be told that it is over; started on the new boot, it
         # would go on there after that.
-        if key in self.ending or task.boot != self.anchor.boot:
+        if key in self.ending or task.boot != self.clock_sample.boot:
             return []
         if task.phase in STOPPING:
             return [Command(Action.STOP, task.id, task.attempt)]
@@ -189,7 +189,7 @@
         # bound by it as well: a daemon that was paused, or cut off from the
         # table, would else start what was given up long ago.
         renewed_at = self._lease.renewed_at
-        return now < renewed_at + self._options.promise_seconds
+        return now < renewed_at + self._options.offline_renewal_seconds
 
     def _choose_renewal(self, task: Task, now: float) -> Action:
         # Before the promise ends each task saves what it has, once, so that
@@ -207,7 +207,9 @@
 
     def is_early(self, now: float) -> bool:
         """Tells whether the promise's end is too far off to save for it."""
-        promise = self._options.promise_seconds * (1 - LAST_CHECKPOINT_SHARE)
+        promise = self._options.offline_renewal_seconds * (
+            1 - LAST_CHECKPOINT_SHARE
+        )
         return now < self._lease.renewed_at + promise
 
     def may_still_start(self, key: AttemptKey, sent_at: float) -> bool:
--- a/lentilmount/batch/links.py
+++ b/lentilmount/batch/worker_session.py
@@ -15,7 +15,6 @@
 from lentilmount.batch.checkpoints import Checkpoints
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.ledger import Ledger
-from lentilmount.batch.orders import LinkOptions, Orders
 from lentilmount.batch.records import Task, WorkerRecord
 from lentilmount.batch.reports import (
     AttemptKey,
@@ -24,8 +23,9 @@
     is_news,
     update_worker,
 )
-from lentilmount.batch.states import HOLDING, STOPPING
-from lentilmount.batch.view import WorkerView
+from lentilmount.batch.states import COMMITTED_PHASES, STOPPING
+from lentilmount.batch.worker_commands import SessionOptions, WorkerCommands
+from lentilmount.batch.worker_state import WorkerView
 from lentilmount.coordination.leases import CLOCK_DRIFT
 from lentilmount.resources import Phase, Urgency
 from lentilmount.upstream.workers import (
@@ -46,7 +46,7 @@
 for the room, and a worker takes a moment to save a checkpoint."""
 
 
-class Link:
+class WorkerSession:
     """One worker's link, for as long as this daemon holds the slice.
 
     Attributes:
@@ -60,7 +60,7 @@
         name: str,
         ledger: Ledger,
         workers: SyncClient,
-        options: LinkOptions,
+        options: SessionOptions,
         monotonic: Callable[[], float],
         on_change: Callable[[], None],
         judge_failure: JudgeFailure,
@@ -74,7 +74,7 @@
         self._monotonic = monotonic
         self._on_change = on_change
         self._judge_failure = judge_failure
-        self._orders = Orders(ledger.lease, options)
+        self._orders = WorkerCommands(ledger.lease, options)
         self._view = WorkerView(options.usage_seconds)
         self._held: list[Task] = []
         self._held_at = -1
@@ -86,7 +86,7 @@
         # renew up to the end of its promise, until the worker has seen our
         # epoch and refuses it.
         self._others_horizon = monotonic() + (
-            ledger.promise_seconds + ledger.task_lease_seconds
+            ledger.offline_renewal_seconds + ledger.task_lease_seconds
         ) * (1 + CLOCK_DRIFT)
         self._own_horizon = 0.0
         self._is_fenced = False
@@ -134,7 +134,7 @@
         sent_at = self._monotonic()
         request = self._make_request(sent_at)
         if request.extends_leases:
-            own = self._orders.get_horizon(sent_at)
+            own = self._orders.get_latest_expiry(sent_at)
             self._own_horizon = max(self._own_horizon, own)
         try:
             answer = await self._workers.sync(self.record.address, request)
@@ -201,7 +201,7 @@
     def _make_request(self, now: float) -> SyncRequest:
         epoch = self._ledger.lease.epoch
         scope = self._ledger.slice_name
-        anchor = self._orders.anchor
+        anchor = self._orders.clock_sample
         # A worker that did not answer gets an empty call first: renewals that
         # it may or may not receive would put off for ever the time when its
         # tasks have surely lapsed and can be placed elsewhere.
@@ -237,13 +237,13 @@
             for commitment in self.record.commitments
             if (task := self._ledger.tasks.get(commitment.rpartition('#')[0]))
             and task.worker == self.name
-            and task.phase in HOLDING
+            and task.phase in COMMITTED_PHASES
         ]
 
     async def _take_in(self, answer: SyncAnswer, sent_at: float) -> None:
         reports = {(r.task, r.attempt): r for r in answer.attempts}
         self._checkpoints.learn(answer.attempts)
-        moves = self._find_moves(answer, reports, sent_at)
+        moves = self._find_transitions(answer, reports, sent_at)
         due = self._checkpoints.list_due(self.list_held(), sent_at)
         if moves or due or self._has_changed(answer):
             urgent = any(self._is_urgent(task) for task, _ in moves)
@@ -278,7 +278,7 @@
         now = (answer.boot, answer.capacity, answer.leaving or record.leaving)
         return now != (record.boot, record.capacity, record.leaving)
 
-    def _find_moves(
+    def _find_transitions(
         self,
         answer: SyncAnswer,
         reports: dict[AttemptKey, AttemptReport],
@@ -324,7 +324,7 @@
         for key, report in reports.items():
             task = self._ledger.tasks.get(key[0])
             current = task is not None and task.attempt == key[1]
-            if current and task is not None and task.phase in HOLDING:
+            if current and task is not None and task.phase in COMMITTED_PHASES:
                 continue
             if key[0] in self._ledger.unread:
                 continue
--- a/lentilmount/batch/pace.py
+++ b/lentilmount/batch/write_limiter.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class Pace:
+class WriteLimiter:
     """A token bucket of rows that may be written.
 
     Rows are counted after they were written, so the bucket goes into debt;
--- a/lentilmount/commands/jobs.py
+++ b/lentilmount/commands/jobs.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lentilmount.batch.inbox import Request, Wish, make_request_put
+from lentilmount.batch.inbox import Request, RequestKind, make_request_put
 from lentilmount.batch.records import Task, make_done_key
-from lentilmount.batch.shapes import ShapeBoard
+from lentilmount.batch.shapes import WorkerShapes
 from lentilmount.codec import structure_resource
 from lentilmount.coordination.table import (
     ConflictError,
@@ -62,7 +62,7 @@
     def __init__(self, table: Table, slices: tuple[str, ...]):
         self._table = table
         self._slices = slices
-        self._shapes = ShapeBoard(table, slices, time.monotonic)
+        self._shapes = WorkerShapes(table, slices, time.monotonic)
 
     async def submit(self, resource: Resource) -> Submitted:
         """Accepts a job; the same job again changes nothing.
@@ -86,7 +86,7 @@
         request = make_request_put(
             slice_name,
             _make_order(order),
-            Request(Wish.SUBMIT, task.id, task),
+            Request(RequestKind.SUBMIT, task.id, task),
         )
         try:
             await commit(self._table, [Put(key, body), request], key)
@@ -170,7 +170,7 @@
         request = make_request_put(
             row.body['slice'],
             _make_order(_CANCEL),
-            Request(Wish.CANCEL, make_task_id(team, name)),
+            Request(RequestKind.CANCEL, make_task_id(team, name)),
         )
         try:
             await commit(self._table, [request], request.key)
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -11,9 +11,9 @@
 import attrs
 
 from lentilmount.batch.manager import SliceManager
-from lentilmount.batch.orders import LinkOptions
 from lentilmount.batch.owner import OwnerOptions
-from lentilmount.batch.preference import Preference, PreferenceOptions
+from lentilmount.batch.ownership import OwnershipOptions, OwnershipPolicy
+from lentilmount.batch.worker_commands import SessionOptions
 from lentilmount.clock import Clock
 from lentilmount.configuration import CONFIGURATION_LOG, Configuration
 from lentilmount.coordination.membership import Member, Membership
@@ -88,9 +88,9 @@
         self._base = base
         self._router = router
         self._calls: set[asyncio.Task[None]] = set()
-        self._preference = Preference(
+        self._preference = OwnershipPolicy(
             membership,
-            PreferenceOptions(self.slices, times.settle, times.slice_lease),
+            OwnershipOptions(self.slices, times.settle, times.slice_lease),
             monotonic,
         )
         self.peers = Peers(
@@ -130,10 +130,10 @@
             membership,
             base.events,
             OwnerOptions(
-                LinkOptions(
+                SessionOptions(
                     sync_seconds=times.sync,
                     lease_seconds=times.task_lease,
-                    promise_seconds=times.task_promise,
+                    offline_renewal_seconds=times.task_promise,
                     usage_seconds=times.usage,
                 ),
                 self.slices,
@@ -182,7 +182,7 @@
 
     def _is_reader(self, slice_name: str) -> bool:
         owned = slice_name in self.manager.owners
-        return owned or self._preference.is_first(slice_name)
+        return owned or self._preference.is_preferred(slice_name)
 
     def _get_news(self) -> News:
         return self.follower.get_news()
--- a/lentilmount/daemon/feed.py
+++ b/lentilmount/daemon/feed.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from lentilmount.batch.links import Link
 from lentilmount.batch.manager import SliceManager
+from lentilmount.batch.worker_session import WorkerSession
 from lentilmount.routing.leaving import LeavingMark
 from lentilmount.routing.pools import Pools
 from lentilmount.upstream.workers import Usage
@@ -27,15 +27,15 @@
         while True:
             await asyncio.sleep(LOOK_SECONDS)
             for owner in self._manager.owners.values():
-                for link in owner.links.values():
-                    self._pass_on(link)
+                for session in owner.sessions.values():
+                    self._pass_on(session)
 
-    def _pass_on(self, link: Link) -> None:
+    def _pass_on(self, session: WorkerSession) -> None:
         # The same report taken in again with each look would outweigh what
         # the callers' own answers show.
-        if self._passed.get(link.name) is not link.usage:
-            self._passed[link.name] = link.usage
-            self._pools.update_usage(link.usage)
-        if link.record.leaving:
-            mark = LeavingMark(link.name, link.record.boot)
+        if self._passed.get(session.name) is not session.usage:
+            self._passed[session.name] = session.usage
+            self._pools.update_usage(session.usage)
+        if session.record.leaving:
+            mark = LeavingMark(session.name, session.record.boot)
             self._pools.mark_leaving(mark, 'the worker')
--- a/stand_ins/cell.py
+++ b/stand_ins/cell.py
@@ -9,11 +9,11 @@
 
 import attrs
 
-from lentilmount.batch.inbox import Request, Wish, make_request_put
+from lentilmount.batch.inbox import Request, RequestKind, make_request_put
 from lentilmount.batch.manager import SliceManager
-from lentilmount.batch.orders import LinkOptions
 from lentilmount.batch.owner import Owner, OwnerOptions
 from lentilmount.batch.records import Task
+from lentilmount.batch.worker_commands import SessionOptions
 from lentilmount.clock import ManualClock
 from lentilmount.configuration import Configuration
 from lentilmount.coordination.membership import Member, Membership
@@ -48,7 +48,7 @@
       workers: How many workers, two to a rack.
       daemons: How many daemons.
       capacity: What each worker has.
-      links: Times of the leases of tasks.
+      sessions: Times of the leases of tasks.
       slice_lease: Seconds that a slice is held without renewal.
       clock_rates: Rates of the workers' clocks; the last one repeats.
       tick_seconds: How often tasks make progress.
@@ -57,7 +57,7 @@
     workers: int = 3
     daemons: int = 2
     capacity: Room = Room(4.0, 16_000, 0)
-    links: LinkOptions = LinkOptions(promise_seconds=60.0)
+    sessions: SessionOptions = SessionOptions(offline_renewal_seconds=60.0)
     slice_lease: float = 3.0
     clock_rates: tuple[float, ...] = (1.0,)
     tick_seconds: float = 0.25
@@ -90,7 +90,7 @@
             self.membership,
             self.events,
             OwnerOptions(
-                cell.options.links, (SLICE,), cell.options.slice_lease
+                cell.options.sessions, (SLICE,), cell.options.slice_lease
             ),
             1,
             clock.monotonic,
@@ -204,8 +204,8 @@
         while True:
             daemon = self.find_owner()
             if daemon and daemon.owner and daemon.name != other_than:
-                links = daemon.owner.links.values()
-                if any(link.reachable for link in links):
+                sessions = daemon.owner.sessions.values()
+                if any(session.reachable for session in sessions):
                     return daemon
             await asyncio.sleep(0.1)
 
@@ -226,7 +226,7 @@
         )
         rank = '0' if urgency is Urgency.URGENT else '1'
         order = f'{rank}-{len(self.accepted):06d}'
-        request = Request(Wish.SUBMIT, task.id, task)
+        request = Request(RequestKind.SUBMIT, task.id, task)
         job = Put(make_job_key(TEAM, name), {})
         await self.table.transact(
             f'submit-{name}', [job, make_request_put(SLICE, order, request)]
@@ -237,7 +237,7 @@
     async def cancel(self, task: str) -> None:
         """Accepts a cancellation."""
         self.cancelled.add(task)
-        request = Request(Wish.CANCEL, task)
+        request = Request(RequestKind.CANCEL, task)
         order = f'2-{len(self.cancelled):06d}-{task}'
         await self.table.transact(
             f'cancel-{task}', [make_request_put(SLICE, order, request)]
--- a/tests/test_batch_faults.py
+++ b/tests/test_batch_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from lentilmount.batch.orders import LinkOptions
+from lentilmount.batch.worker_commands import SessionOptions
 from lentilmount.clock import ManualClock
 from stand_ins.cell import Cell, CellOptions
 from stand_ins.virtual_time import run_virtual
@@ -211,8 +211,8 @@
         for daemon in cell.daemons:
             daemon.table.faults.down = False
 
-    links = LinkOptions(promise_seconds=660.0)
-    cell = play(scene, CellOptions(links=links, tick_seconds=1.0))
+    sessions = SessionOptions(offline_renewal_seconds=660.0)
+    cell = play(scene, CellOptions(sessions=sessions, tick_seconds=1.0))
     assert set(count_runs(cell).values()) == {1}
 
 
--- a/tests/test_batch_mutations.py
+++ b/tests/test_batch_mutations.py
@@ -12,12 +12,12 @@
 import attrs
 import pytest
 
-from lentilmount.batch import links, owner, reports
+from lentilmount.batch import owner, reports, worker_session
 from lentilmount.batch.drafts import Draft
-from lentilmount.batch.links import Link
-from lentilmount.batch.orders import Orders
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.states import Move
+from lentilmount.batch.states import Transition
+from lentilmount.batch.worker_commands import WorkerCommands
+from lentilmount.batch.worker_session import WorkerSession
 from lentilmount.clock import ManualClock
 from lentilmount.coordination.leases import Lease, LeaseKeeper
 from lentilmount.coordination.table import (
@@ -112,7 +112,7 @@
     old = await cell.wait_for_owner()
     old.workers.set_down(True)
     await cell.submit('job', 30.0)
-    while not old.owner or not old.owner.count_held():
+    while not old.owner or not old.owner.count_committed():
         await asyncio.sleep(0.01)
     old.table.faults.down = True
     return old
@@ -184,7 +184,7 @@
     old.table.faults.down = True
     for _ in range(250):
         await asyncio.sleep(0.1)
-        if old.owner and old.owner.count_held():
+        if old.owner and old.owner.count_committed():
             break
     await asyncio.sleep(0.5)
     old.table.faults.down = False
@@ -225,22 +225,24 @@
 
 
 def break_horizon(patch: Patch) -> None:
-    patch.setattr(Orders, 'get_horizon', lambda self, now: now)
+    patch.setattr(WorkerCommands, 'get_latest_expiry', lambda self, now: now)
 
 
 def break_forget(patch: Patch) -> None:
-    patch.setattr(Orders, 'may_still_start', lambda *_: False)
+    patch.setattr(WorkerCommands, 'may_still_start', lambda *_: False)
 
 
 def break_commitment(patch: Patch) -> None:
-    move = Draft.move
+    move = Draft.transition
 
-    def release(self: Draft, task: Task, kind: Move, **changes: Any) -> Task:
-        if kind is Move.CANCEL and task.worker:
+    def release(
+        self: Draft, task: Task, kind: Transition, **changes: Any
+    ) -> Task:
+        if kind is Transition.CANCEL and task.worker:
             self.set_worker(self.get_worker(task.worker).release(task))
         return move(self, task, kind, **changes)
 
-    patch.setattr(Draft, 'move', release)
+    patch.setattr(Draft, 'transition', release)
 
 
 def break_epoch(patch: Patch) -> None:
@@ -253,24 +255,26 @@
 
 
 def break_boot(patch: Patch) -> None:
-    make = Orders._make_commands
+    make = WorkerCommands._make_commands
 
-    def ignore(self: Orders, task: Task, now: float) -> list[Command]:
-        assert self.anchor is not None
-        known = attrs.evolve(task, boot=self.anchor.boot)
+    def ignore(self: WorkerCommands, task: Task, now: float) -> list[Command]:
+        assert self.clock_sample is not None
+        known = attrs.evolve(task, boot=self.clock_sample.boot)
         return make(self, known, now)
 
-    patch.setattr(Orders, '_make_commands', ignore)
+    patch.setattr(WorkerCommands, '_make_commands', ignore)
 
 
 def break_promise(patch: Patch) -> None:
-    patch.setattr(Orders, '_may_renew', lambda *_: True)
+    patch.setattr(WorkerCommands, '_may_renew', lambda *_: True)
 
 
 def break_attempt(patch: Patch) -> None:
-    find, apply = Link._find_moves, reports.apply_report
+    find, apply = WorkerSession._find_transitions, reports.apply_report
 
-    def find_any(self: Link, answer: Any, known: Any, at: float) -> Any:
+    def find_any(
+        self: WorkerSession, answer: Any, known: Any, at: float
+    ) -> Any:
         late = [
             (report.task, report)
             for report in answer.attempts
@@ -284,8 +288,8 @@
             report = attrs.evolve(report, attempt=task.attempt)
             apply(draft, name, report, task.worker, *more[1:])
 
-    patch.setattr(Link, '_find_moves', find_any)
-    patch.setattr(links, 'apply_report', apply_any)
+    patch.setattr(WorkerSession, '_find_transitions', find_any)
+    patch.setattr(worker_session, 'apply_report', apply_any)
 
 
 def break_unknown_write(patch: Patch) -> None:
--- a/tests/test_batch_rows.py
+++ b/tests/test_batch_rows.py
@@ -7,9 +7,9 @@
 import time
 
 from lentilmount.batch.ledger import LedgerOptions
-from lentilmount.batch.pace import Pace
 from lentilmount.batch.records import make_task_key, read_changes
 from lentilmount.batch.retention import Retention, RetentionOptions
+from lentilmount.batch.write_limiter import WriteLimiter
 from lentilmount.clock import ManualClock
 from lentilmount.coordination.table import Key, Put
 from lentilmount.resources import Room, Urgency
@@ -77,7 +77,7 @@
 
 def test_the_limit_is_paid_back_over_time() -> None:
     clock = ManualClock()
-    pace = Pace(100.0, 200.0, clock.monotonic)
+    pace = WriteLimiter(100.0, 200.0, clock.monotonic)
     pace.spend(300)
     assert not pace.is_open
     clock.advance(1.0)
--- a/tests/test_batch_machine.py
+++ b/tests/test_batch_state_machine.py
@@ -19,7 +19,7 @@
     rule,
 )
 
-from lentilmount.batch.orders import LinkOptions
+from lentilmount.batch.worker_commands import SessionOptions
 from lentilmount.clock import ManualClock
 from stand_ins.cell import Cell, CellDaemon, CellOptions
 from stand_ins.virtual_time import VirtualLoop
@@ -40,7 +40,7 @@
             loop_factory=lambda: VirtualLoop(self.clock)
         )
         options = CellOptions(
-            links=LinkOptions(promise_seconds=30.0),
+            sessions=SessionOptions(offline_renewal_seconds=30.0),
             clock_rates=(1.0, 1.004, 0.996),
             tick_seconds=1.0,
         )
--- a/tests/test_steering.py
+++ b/tests/test_interference_control.py
@@ -2,11 +2,11 @@
 
 import attrs
 
+from lentilmount.batch.interference_control import InterferenceController
 from lentilmount.batch.learning import SizeLearner
 from lentilmount.batch.occupancy import Occupancy
-from lentilmount.batch.overruns import OverrunWatch
+from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.steering import Steering
 from lentilmount.resources import Demand, Phase, Room
 from lentilmount.upstream.workers import Command, Usage
 
@@ -47,8 +47,8 @@
     """Returns how many jobs of unknown classes a worker would take."""
     occupancy = Occupancy()
     sizes = SizeLearner()
-    steering = Steering(
-        occupancy, sizes, OverrunWatch(), try_spend=lambda: False
+    steering = InterferenceController(
+        occupancy, sizes, OverrunDetector(), try_spend=lambda: False
     )
     occupancy.update(SERVICE, 0.0)
     usage = Usage(SERVICE.id, 1, age=1.0, p99_ms=p99_ms, load=load)
@@ -58,7 +58,7 @@
         if steering.make_cost(job, 100.0)(RECORD) == float('inf'):
             return number
         occupancy.update(job, 100.0)
-        steering.note_change('w')
+        steering.invalidate('w')
     return MANY
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -14,13 +14,13 @@
 
 from lentilmount.batch.budget import EvictionBudget
 from lentilmount.batch.interference import InterferenceModel
-from lentilmount.batch.isolation import Evict, Isolator, Limits, Neighbour
+from lentilmount.batch.isolation import EvictAction, Isolator, Limits, Neighbour
 from lentilmount.batch.learning import SizeLearner
-from lentilmount.batch.overruns import OverrunWatch
+from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.policy import Policy
 from lentilmount.batch.quarantine import Quarantine
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.states import Move
+from lentilmount.batch.states import Transition
 from lentilmount.clock import ManualClock
 from lentilmount.configuration import Configuration
 from lentilmount.resources import (
@@ -46,7 +46,7 @@
         self.clock = ManualClock()
         self.rows = MemorySlice()
         self.rows.add_workers([Room(8.0, 32_000, 0)] * workers)
-        self.links = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
         configuration = Configuration()
         configuration.load(
             1,
@@ -57,7 +57,7 @@
         )
         self.policy = Policy(
             self.rows,
-            self.links,
+            self.sessions,
             configuration,
             1,
             self.clock.monotonic,
@@ -87,9 +87,9 @@
             draft = self.rows.begin()
         self.rows.apply(draft)
 
-    def move(self, task: str, move: Move) -> None:
+    def move(self, task: str, move: Transition) -> None:
         draft = self.rows.begin()
-        draft.move(self.rows.tasks[task], move)
+        draft.transition(self.rows.tasks[task], move)
         self.rows.apply(draft)
 
     def list_phase(self, phase: Phase) -> list[str]:
@@ -126,7 +126,7 @@
             assert sum(t.demand.memory_mb for t in held) <= quota.memory_mb
         starting = bench.list_phase(Phase.STARTING)
         if ends and starting:
-            bench.move(starting[0], Move.FINISH)
+            bench.move(starting[0], Transition.FINISH)
 
 
 def test_weights_divide_a_full_cluster() -> None:
@@ -167,14 +167,14 @@
     for number in range(8):
         bench.submit(f'old-{number}')
         bench.place()
-        bench.move(f'Job/t/old-{number}/0', Move.STARTED)
+        bench.move(f'Job/t/old-{number}/0', Transition.STARTED)
         bench.clock.advance(100.0)
     bench.submit('waiting')
     urgent = bench.submit('now', urgency=Urgency.URGENT)
     bench.place()
     assert bench.list_phase(Phase.EVICTING) == ['Job/t/old-7/0']
-    assert bench.policy.budget.exceeded == 1
-    bench.move('Job/t/old-7/0', Move.STOPPED)
+    assert bench.policy.budget.forced == 1
+    bench.move('Job/t/old-7/0', Transition.STOPPED)
     bench.place()
     assert bench.list_phase(Phase.STARTING) == [urgent]
 
@@ -194,10 +194,10 @@
         for task in bench.list_phase(Phase.STARTING):
             if task == large:
                 return
-            bench.move(task, Move.STARTED)
+            bench.move(task, Transition.STARTED)
         running = bench.list_phase(Phase.RUNNING)
         for task in running[:2]:
-            bench.move(task, Move.FINISH)
+            bench.move(task, Transition.FINISH)
         bench.clock.advance(2.0)
     pytest.fail('the large job never started')
 
@@ -240,7 +240,7 @@
         noise = 0.03 if step % 2 else -0.03
         ratio = math.exp(0.4 * share) * (1 + noise)
         for act in isolator.decide('w', ratio, now, now, [neighbour], LIMITS):
-            assert not isinstance(act, Evict)
+            assert not isinstance(act, EvictAction)
             share = act.share
             changes.append(now)
     assert changes and share < 0.7
@@ -275,7 +275,7 @@
         for step in range(60):
             now = float(step)
             acts += isolator.decide('w', 1.5, now, now, [neighbour], LIMITS)
-        assert any(isinstance(act, Evict) for act in acts) is allowed
+        assert any(isinstance(act, EvictAction) for act in acts) is allowed
 
 
 def test_an_act_is_judged_by_measurements_after_it() -> None:
@@ -320,18 +320,18 @@
     broken = (names[0], names[4])
     for name in broken:
         for number in range(3):
-            watch.note_failure(make_job(f'j{number}', f'c{number}'), name)
+            watch.record_failure(make_job(f'j{number}', f'c{number}'), name)
     for number in range(9):
-        watch.note_failure(make_job(f'bad-{number}', 'bad'), names[1])
-        watch.note_failure(make_job(f'bad-{number}', 'bad'), names[2])
-        watch.note_failure(make_job(f'bad-{number}', 'bad'), names[3])
+        watch.record_failure(make_job(f'bad-{number}', 'bad'), names[1])
+        watch.record_failure(make_job(f'bad-{number}', 'bad'), names[2])
+        watch.record_failure(make_job(f'bad-{number}', 'bad'), names[3])
     found = watch.review(rows.workers, 0.0)
     assert [record.name for record in found] == [*broken]
     assert 'failed 3 different jobs' in found[0].quarantined
     failed_on = (*broken, names[5])
-    assert not watch.is_hopeless(make_job('j0', 'c0'), failed_on, 10)
+    assert not watch.should_give_up(make_job('j0', 'c0'), failed_on, 10)
     sound = tuple(names[1:4])
-    assert watch.is_hopeless(make_job('bad-0', 'bad'), sound, 10)
+    assert watch.should_give_up(make_job('bad-0', 'bad'), sound, 10)
 
 
 def test_a_quarantine_ends_in_probation() -> None:
@@ -340,17 +340,17 @@
     watch = Quarantine()
     name = next(iter(rows.workers))
     for number in range(3):
-        watch.note_failure(make_job(f'j{number}', f'c{number}'), name)
+        watch.record_failure(make_job(f'j{number}', f'c{number}'), name)
     (rows.workers[name],) = watch.review(rows.workers, 0.0)
     assert watch.review(rows.workers, 59.0) == []
     (rows.workers[name],) = watch.review(rows.workers, 61.0)
     assert rows.workers[name].quarantined == ''
     assert watch.is_on_probation(name)
-    watch.note_failure(make_job('again', 'new'), name)
+    watch.record_failure(make_job('again', 'new'), name)
     (rows.workers[name],) = watch.review(rows.workers, 62.0)
     assert watch.review(rows.workers, 62.0 + 119.0) == []
     (rows.workers[name],) = watch.review(rows.workers, 62.0 + 121.0)
-    watch.note_success(make_job('good', 'new'), name)
+    watch.record_success(make_job('good', 'new'), name)
     assert not watch.is_on_probation(name)
 
 
@@ -361,7 +361,7 @@
     for name in rows.workers:
         for number in range(3):
             job = make_job(f'{name}-{number}', f'{name}-{number}')
-            watch.note_failure(job, name)
+            watch.record_failure(job, name)
     assert len(watch.review(rows.workers, 0.0)) == 2
 
 
@@ -381,10 +381,10 @@
 
 
 def test_overruns_are_throttled_then_moved() -> None:
-    watch = OverrunWatch()
+    watch = OverrunDetector()
     job = attrs.evolve(make_job('x'), attempt=1)
     usage = Usage(job.id, 1, 0.0, cores=8.0, memory_mb=1000)
-    verdicts = [watch.judge(job, usage, 1.0, now) for now in (0, 1, 2, 70)]
+    verdicts = [watch.evaluate(job, usage, 1.0, now) for now in (0, 1, 2, 70)]
     assert verdicts[:2] == [None, None]
     assert verdicts[2] and verdicts[2].share == 0.5 and not verdicts[2].move
     assert verdicts[3] and verdicts[3].move
--- a/tests/test_routing_leaving.py
+++ b/tests/test_routing_leaving.py
@@ -230,8 +230,8 @@
     """Waits until some daemon is linked to both workers."""
     async with asyncio.timeout(10.0):
         while not any(
-            len(owner.links) == 2
-            and all(link.reachable for link in owner.links.values())
+            len(owner.sessions) == 2
+            and all(session.reachable for session in owner.sessions.values())
             for daemon in daemons
             for owner in daemon.manager.owners.values()
         ):
--- a/tests/test_slices.py
+++ b/tests/test_slice_ownership.py
@@ -1,6 +1,6 @@
 """Who should own a slice: evenly spread, steady, and never nobody."""
 
-from lentilmount.batch.preference import Preference, PreferenceOptions
+from lentilmount.batch.ownership import OwnershipOptions, OwnershipPolicy
 from lentilmount.clock import ManualClock
 from lentilmount.coordination.membership import Member, Membership
 from lentilmount.slices import assign_evenly
@@ -14,11 +14,11 @@
 
 def make_preference(
     clock: ManualClock, me: str, *others: str
-) -> tuple[Preference, Membership]:
+) -> tuple[OwnershipPolicy, Membership]:
     membership = Membership(make_members(me)[0], 1e9, clock.monotonic)
     membership.observe(make_members(*others))
-    options = PreferenceOptions(SLICES, 4.0, 3.0)
-    return Preference(membership, options, clock.monotonic), membership
+    options = OwnershipOptions(SLICES, 4.0, 3.0)
+    return OwnershipPolicy(membership, options, clock.monotonic), membership
 
 
 def test_slices_are_spread_evenly_and_few_move() -> None:
@@ -44,7 +44,7 @@
     )
     tries: list[list[bool]] = []
     for _ in range(3):
-        tries.append([view.should_try(slice_name) for view in views])
+        tries.append([view.should_acquire(slice_name) for view in views])
         clock.advance(3.0)
     assert [sum(some) for some in tries] == [0, 1, 2]
 
@@ -54,7 +54,7 @@
     view, membership = make_preference(clock, 'a')
     (newcomer,) = make_members('b')
     membership.observe([newcomer])
-    name = next(s for s in SLICES if not view.is_first(s))
+    name = next(s for s in SLICES if not view.is_preferred(s))
     assert not view.should_hand_over(name)
     clock.advance(3.0)
     ill = Member('b', 'z', 'b', 1, beat=1, eligible=False)
