--- a/tests/platform_scene.py
+++ b/tests/platform_fixtures.py
@@ -116,7 +116,7 @@
 
 
 @attrs.define
-class Scene:
+class PlatformFixture:
     """The platform's stand-ins and the daemons on it."""
 
     store: RowStore
@@ -128,7 +128,7 @@
         factory=lambda: AsyncHTTPClient(force_instance=True)
     )
 
-    def open_door(self) -> Door:
+    def open_store_address(self) -> Door:
         """Opens another address of the store, which can fail by itself."""
         door = Door()
         door.address = serve_store(self.store, self.stack, door)
@@ -222,13 +222,15 @@
                 await asyncio.sleep(0.05)
 
 
-async def wait_for_line(scene: Scene, daemon: Daemon, message: str) -> None:
+async def wait_for_line(
+    platform: PlatformFixture, daemon: Daemon, message: str
+) -> None:
     """Waits until a daemon has written a line to its log."""
 
     async def is_told() -> bool:
         return bool(daemon.select(message=message))
 
-    await scene.wait_for(is_told)
+    await platform.wait_for(is_told)
 
 
 async def end_process(
@@ -259,9 +261,9 @@
 
 
 @contextlib.asynccontextmanager
-async def open_scene(
+async def open_platform(
     folder: pathlib.Path, workers: int = 2
-) -> AsyncIterator[Scene]:
+) -> AsyncIterator[PlatformFixture]:
     """Opens the platform's stand-ins."""
     async with contextlib.AsyncExitStack() as stack:
         store = RowStore()
@@ -270,7 +272,7 @@
         fleet = Fleet(store, SERVICE, workers)
         fleet.open()
         stack.callback(fleet.close)
-        yield Scene(store, fleet, address, folder, stack)
+        yield PlatformFixture(store, fleet, address, folder, stack)
 
 
 def open_store(
@@ -291,7 +293,7 @@
         yield store, PlatformTable(caller, 0.5)
 
 
-class GatedTable(PlatformTable):
+class BlockedTable(PlatformTable):
     """A store of which reading the jobs takes until it is let through."""
 
     gate: asyncio.Event
@@ -303,12 +305,12 @@
         return await super().read_all(table, part)
 
 
-def open_gated_table(
+def open_blocked_table(
     stack: contextlib.AsyncExitStack,
-) -> tuple[RowStore, GatedTable]:
+) -> tuple[RowStore, BlockedTable]:
     """Opens a stand-in of the table service with a gate before the jobs."""
     store, caller = open_store(stack)
-    table = GatedTable(caller, 1.0)
+    table = BlockedTable(caller, 1.0)
     table.gate = asyncio.Event()
     return store, table
 
@@ -336,17 +338,18 @@
 
 
 @attrs.define
-class ToldOutage(OutageDetector):
+class FakeOutageDetector(OutageDetector):
     """Asks daemons that answer as told.
 
     Attributes:
-      told: For how long the store has been silent at each; None for no answer.
+      ages_by_peer: For how long the store has been silent at each; None for no
+        answer.
     """
 
-    told: dict[str, float | None] = attrs.field(kw_only=True)
+    ages_by_peer: dict[str, float | None] = attrs.field(kw_only=True)
 
     async def _ask_peer(self, address: str) -> float | None:
-        return self.told[address]
+        return self.ages_by_peer[address]
 
 
 def make_outage_detector(
@@ -358,4 +361,4 @@
     clock.advance(1.0)
     watch.record(False)
     peers = PeerList('a', ('a', *ages))
-    return ToldOutage(watch, HttpClient(''), peers, told=ages)
+    return FakeOutageDetector(watch, HttpClient(''), peers, ages_by_peer=ages)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -12,7 +12,8 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task, Worker
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
@@ -20,7 +21,6 @@
     make_job,
     make_policy,
 )
-from tests.helpers import run
 
 VALID_SECONDS = 3.0
 ADVISED = make_policy(advised=True)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -10,7 +10,7 @@
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
 from lentilmount.scheduling.takeover import UnrecordedStarts
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_configuration_age.py
+++ b/tests/test_configuration_age.py
@@ -16,7 +16,7 @@
 from lentilmount.coordination.table import UnavailableError
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from tests.helpers import run
-from tests.platform_scene import make_configuration, make_outage_detector
+from tests.platform_fixtures import make_configuration, make_outage_detector
 
 APPLY_SECONDS = 3.0
 STEP_SECONDS = 0.125
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -23,7 +23,7 @@
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
-from tests.platform_scene import listen, make_configuration
+from tests.platform_fixtures import listen, make_configuration
 
 APPLY_SECONDS = 2.0
 SMALL = Capacity(0.5, 5.0)
@@ -118,18 +118,18 @@
     """Every host with a small link read every version whole from the store."""
 
     async def play() -> list[int]:
-        async with _open_scene() as scene:
-            scene.larger.apply_row(_make_row(1))
-            scene.larger.confirm(monotonic(), 5)
-            await scene.wait_for(1)
-            scene.store.asked.clear()
+        async with _open_scene() as platform:
+            platform.larger.apply_row(_make_row(1))
+            platform.larger.confirm(monotonic(), 5)
+            await platform.wait_for(1)
+            platform.store.asked.clear()
             for version in (2, 3):
-                scene.larger.apply_row(_make_row(version))
-                scene.larger.confirm(monotonic(), 5 + version)
-                await scene.wait_for(version)
-            assert scene.own.position == 8
-            assert not scene.own.is_outdated
-            return scene.store.asked
+                platform.larger.apply_row(_make_row(version))
+                platform.larger.confirm(monotonic(), 5 + version)
+                await platform.wait_for(version)
+            assert platform.own.position == 8
+            assert not platform.own.is_outdated
+            return platform.store.asked
 
     assert run(play()) == []
 
@@ -138,15 +138,15 @@
     """A source that has lost the store kept old routes in force elsewhere."""
 
     async def play() -> float:
-        async with _open_scene() as scene:
-            scene.store.is_away = True
-            scene.larger.apply_row(_make_row(1))
-            scene.larger.confirm(monotonic() - 1.0, 1)
-            await scene.wait_for(1)
+        async with _open_scene() as platform:
+            platform.store.is_away = True
+            platform.larger.apply_row(_make_row(1))
+            platform.larger.confirm(monotonic() - 1.0, 1)
+            await platform.wait_for(1)
             for _ in range(5):
                 await asyncio.sleep(0.05)
-                assert scene.own.as_of <= scene.larger.as_of
-            return scene.larger.as_of - scene.own.as_of
+                assert platform.own.as_of <= platform.larger.as_of
+            return platform.larger.as_of - platform.own.as_of
 
     assert run(play()) < 0.5
 
@@ -156,12 +156,12 @@
     """A source knows nothing new, or is being stopped."""
 
     async def play() -> None:
-        async with _open_scene(is_closing) as scene:
-            scene.larger.apply_row(_make_row(1))
-            scene.larger.confirm(monotonic() - 10.0, 1)
-            scene.store.row = _make_row(2)
-            await scene.wait_for(2)
-            assert not scene.own.is_outdated
+        async with _open_scene(is_closing) as platform:
+            platform.larger.apply_row(_make_row(1))
+            platform.larger.confirm(monotonic() - 10.0, 1)
+            platform.store.row = _make_row(2)
+            await platform.wait_for(2)
+            assert not platform.own.is_outdated
 
     run(play())
 
--- a/tests/test_consolidation.py
+++ b/tests/test_consolidation.py
@@ -14,7 +14,7 @@
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
 from lentilmount.scheduling.placement import Placer
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_explaining.py
+++ b/tests/test_diagnostic_logs.py
@@ -19,7 +19,7 @@
 from lentilmount.status import ExitStatus
 from stand_ins.rowstore import Fault
 from tests.helpers import run
-from tests.platform_scene import Daemon, open_scene
+from tests.platform_fixtures import Daemon, open_platform
 
 JOB = '0123456789abcdef'
 
@@ -54,10 +54,10 @@
     """A caller is refused while the store turns calls away."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            scene.store.fault = Fault.REFUSE
-            assert (await scene.submit(daemon, JOB)).code == 503
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            platform.store.fault = Fault.REFUSE
+            assert (await platform.submit(daemon, JOB)).code == 503
             files = write_logs(tmp_path, daemon)
             out = await trace(JOB, *files)
             assert 'frontend: Refused' in out
@@ -70,15 +70,15 @@
     """A trace did not tell why a job was late."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            first = await scene.start('host-1')
-            await scene.submit(first, 'f' * 16)
-            await scene.wait_for_state(first, 'f' * 16, 'completed')
-            second = await scene.start('host-2')
+        async with open_platform(tmp_path) as platform:
+            first = await platform.start('host-1')
+            await platform.submit(first, 'f' * 16)
+            await platform.wait_for_state(first, 'f' * 16, 'completed')
+            second = await platform.start('host-2')
             first.process.send_signal(signal.SIGKILL)
             await first.process.wait()
-            await scene.submit(second, JOB)
-            await scene.wait_for_state(second, JOB, 'completed')
+            await platform.submit(second, JOB)
+            await platform.wait_for_state(second, JOB, 'completed')
             files = write_logs(tmp_path, first, second)
             out = await trace(JOB, *files)
             lines = out.splitlines()
@@ -112,12 +112,12 @@
 
 def test_a_failed_job_is_explained(tmp_path: pathlib.Path) -> None:
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.fails.add('bad')
-            daemon = await scene.start()
-            await scene.submit(daemon, JOB, 'bad')
-            await scene.wait_for_state(daemon, JOB, 'failed')
+            daemon = await platform.start()
+            await platform.submit(daemon, JOB, 'bad')
+            await platform.wait_for_state(daemon, JOB, 'failed')
             files = write_logs(tmp_path, daemon)
             out = await trace(JOB, *files)
             ends = [x for x in out.splitlines() if 'Ended: failed.' in x]
@@ -140,12 +140,12 @@
 
 def test_metrics_are_served(tmp_path: pathlib.Path) -> None:
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            await scene.submit(daemon, JOB)
-            await scene.wait_for_state(daemon, JOB, 'completed')
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            await platform.submit(daemon, JOB)
+            await platform.wait_for_state(daemon, JOB, 'completed')
             address = daemon.get_address('metrics')
-            answer = await scene.client.fetch(f'http://{address}/metrics')
+            answer = await platform.client.fetch(f'http://{address}/metrics')
             text = answer.body.decode()
             assert 'lentilmount_requests_total{' in text
             assert 'lentilmount_first_start_seconds_bucket' in text
--- a/tests/test_handover_to_larger_host.py
+++ b/tests/test_handover_to_larger_host.py
@@ -29,12 +29,12 @@
 from lentilmount.scheduling.placement import Placer
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
-from tests.platform_scene import (
+from tests.platform_fixtures import (
     SERVICE,
-    Scene,
+    PlatformFixture,
     make_election,
-    open_gated_table,
-    open_scene,
+    open_blocked_table,
+    open_platform,
     wait_for_line,
 )
 from tests.test_ownership import FIRST, SMALL
@@ -67,7 +67,7 @@
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            _, table = open_gated_table(stack)
+            _, table = open_blocked_table(stack)
             candidates = Candidates(SMALL_HOST)
             candidates.update({'large:1': LARGE_HOST}, True)
             election = make_election(table, candidates)
@@ -121,16 +121,16 @@
     """A host handed its service over to itself every few seconds."""
 
     async def play() -> int:
-        async with open_scene(tmp_path) as scene:
-            small = await scene.start('host-1', limits=SMALL)
-            await wait_for_line(scene, small, 'Taken: desk.')
+        async with open_platform(tmp_path) as platform:
+            small = await platform.start('host-1', limits=SMALL)
+            await wait_for_line(platform, small, 'Taken: desk.')
             line = small.select(message='Started.')[0]
             body = {
                 'address': line['internal'],
                 'cores': 2.1,
                 'link_mbps': 100.0,
             }
-            scene.store.write(
+            platform.store.write(
                 ('daemons', '', 'host-9'), orjson.dumps(['old', body])
             )
             await asyncio.sleep(OBSERVED_SECONDS)
@@ -140,7 +140,7 @@
     assert run(play()) == 0
 
 
-def add_larger_host(scene: Scene) -> None:
+def add_larger_host(platform: PlatformFixture) -> None:
     """Adds a daemon that hears the store and never takes a lease."""
     watch = StoreHealth(SystemClock().monotonic, 'desk')
     watch.record(True)
@@ -154,13 +154,13 @@
     )
     sockets = bind_sockets(0, '127.0.0.1')
     server.add_sockets(sockets)
-    scene.stack.callback(server.stop)
+    platform.stack.callback(server.stop)
     body = {
         'address': f'127.0.0.1:{sockets[0].getsockname()[1]}',
         'cores': 2.1,
         'link_mbps': 100.0,
     }
-    scene.store.write(('daemons', '', 'host-9'), orjson.dumps(['old', body]))
+    platform.store.write(('daemons', '', 'host-9'), orjson.dumps(['old', body]))
 
 
 def test_a_task_that_lasts_comes_back_while_its_service_changes_hands(
@@ -169,20 +169,20 @@
     """Each new owner waited anew for a lost worker's leases."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
-            add_larger_host(scene)
-            small = await scene.start('host-1', limits=SMALL)
-            await wait_for_line(scene, small, 'Taken: desk.')
-            await scene.submit(small, FIRST, 'long', longRunning=True)
-            await scene.wait_for_state(small, FIRST, 'running')
-            gone = next(w for w in scene.fleet.workers if w.running)
+            add_larger_host(platform)
+            small = await platform.start('host-1', limits=SMALL)
+            await wait_for_line(platform, small, 'Taken: desk.')
+            await platform.submit(small, FIRST, 'long', longRunning=True)
+            await platform.wait_for_state(small, FIRST, 'running')
+            gone = next(w for w in platform.fleet.workers if w.running)
             gone.silent = True
             gone.running.clear()
 
             async def is_back() -> bool:
-                others = [w for w in scene.fleet.workers if w is not gone]
+                others = [w for w in platform.fleet.workers if w is not gone]
                 return any(worker.running for worker in others)
 
             async with asyncio.timeout(AWAY_SECONDS):
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -11,7 +11,7 @@
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.placement import Placer
 from lentilmount.scheduling.reports import EndKind
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_inherited_leases.py
+++ b/tests/test_inherited_leases.py
@@ -18,15 +18,15 @@
     list_lease_seconds,
 )
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.platform_fixtures import Daemon, PlatformFixture, open_platform
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
     make_job,
     run_task,
 )
-from tests.helpers import run
-from tests.platform_scene import Daemon, Scene, open_scene
 from tests.test_worker_session import LEASE_SECONDS, IgnoringListener
 
 JOB = '0123456789abcdef'
@@ -47,7 +47,7 @@
     return epoch, daemons[index]
 
 
-async def hand_over(scene: Scene, daemons: list[Daemon]) -> None:
+async def hand_over(platform: PlatformFixture, daemons: list[Daemon]) -> None:
     """Stops the owner's daemon as planned and waits for the next owner."""
     epoch, owner = find_owner(daemons)
     owner.process.send_signal(signal.SIGTERM)
@@ -55,7 +55,7 @@
     async def is_taken() -> bool:
         return find_owner(daemons)[0] > epoch
 
-    await scene.wait_for(is_taken)
+    await platform.wait_for(is_taken)
 
 
 def test_owners_in_turn_do_not_keep_what_a_gone_worker_ran(
@@ -64,22 +64,23 @@
     """Owners stopped in turn each waited anew for a lost worker's leases."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
             daemons = [
-                await scene.start(f'host-{number}') for number in range(DAEMONS)
+                await platform.start(f'host-{number}')
+                for number in range(DAEMONS)
             ]
-            await scene.submit(daemons[0], JOB, 'long', longRunning=True)
-            await scene.wait_for_state(daemons[0], JOB, 'running')
-            lost = next(w for w in scene.fleet.workers if w.running)
+            await platform.submit(daemons[0], JOB, 'long', longRunning=True)
+            await platform.wait_for_state(daemons[0], JOB, 'running')
+            lost = next(w for w in platform.fleet.workers if w.running)
             lost.silent = True
             for _ in range(DAEMONS - 1):
                 await asyncio.sleep(TENURE_SECONDS)
-                if len(scene.fleet.list_starts()) > 1:
+                if len(platform.fleet.list_starts()) > 1:
                     break
-                await hand_over(scene, daemons)
-            starts = [w.id for w in scene.fleet.workers if w.started]
+                await hand_over(platform, daemons)
+            starts = [w.id for w in platform.fleet.workers if w.started]
             assert len(starts) == 2
 
     run(play())
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -22,7 +22,7 @@
 from lentilmount.scheduling.kalman import KalmanFilter
 from lentilmount.scheduling.model import Task, Worker, measure_intensity
 from lentilmount.scheduling.throttling import SUSPEND_AFTER_SECONDS, Throttler
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_job_loader.py
+++ b/tests/test_job_loader.py
@@ -13,9 +13,9 @@
 from lentilmount.platform.documents import encode_job_row
 from lentilmount.platform.store import PlatformTable
 from lentilmount.scheduling.cluster import ClusterState
-from tests.fleet_scene import make_job
 from tests.helpers import run
-from tests.platform_scene import open_table
+from tests.platform_fixtures import open_table
+from tests.scheduling_fixtures import make_job
 
 WAIT_SECONDS = 5.0
 
--- a/tests/test_shown_states.py
+++ b/tests/test_job_states.py
@@ -7,7 +7,7 @@
 
 from stand_ins.fleet import START_PATH, STOP_PATH
 from tests.helpers import run
-from tests.platform_scene import open_scene, wait_for_line
+from tests.platform_fixtures import open_platform, wait_for_line
 
 JOB = '0123456789abcdef'
 
@@ -21,18 +21,18 @@
     """A job was shown as running when its start was decided."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
                 worker.unanswered |= {START_PATH, STOP_PATH}
-            await scene.submit(daemon, JOB, 'long', longRunning=True)
-            await wait_for_line(scene, daemon, 'Starting.')
+            await platform.submit(daemon, JOB, 'long', longRunning=True)
+            await wait_for_line(platform, daemon, 'Starting.')
             await asyncio.sleep(SETTLED_SECONDS)
-            assert await scene.get_state(daemon, JOB) == 'queued'
-            for worker in scene.fleet.workers:
+            assert await platform.get_state(daemon, JOB) == 'queued'
+            for worker in platform.fleet.workers:
                 worker.unanswered.clear()
-            await scene.wait_for_state(daemon, JOB, 'running')
-            assert any(worker.running for worker in scene.fleet.workers)
+            await platform.wait_for_state(daemon, JOB, 'running')
+            assert any(worker.running for worker in platform.fleet.workers)
 
     run(play())
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -33,13 +33,13 @@
 from lentilmount.scheduling.views import is_open
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
-from tests.platform_scene import (
+from tests.platform_fixtures import (
     WAIT_SECONDS,
     Daemon,
-    Scene,
+    PlatformFixture,
     make_election,
-    open_gated_table,
-    open_scene,
+    open_blocked_table,
+    open_platform,
 )
 from tests.test_inherited_leases import (
     DAEMONS,
@@ -73,7 +73,7 @@
 
 
 async def end_owner(
-    scene: Scene, daemons: list[Daemon], how: signal.Signals
+    platform: PlatformFixture, daemons: list[Daemon], how: signal.Signals
 ) -> None:
     """Kills or freezes the owner's daemon and waits for the next owner."""
     epoch, owner = find_owner(daemons)
@@ -84,7 +84,7 @@
     async def is_taken() -> bool:
         return find_owner(daemons)[0] > epoch
 
-    await scene.wait_for(is_taken)
+    await platform.wait_for(is_taken)
 
 
 @pytest.mark.parametrize('how', [signal.SIGKILL, signal.SIGSTOP])
@@ -95,33 +95,34 @@
     """Each owner that was not stopped as planned made the next wait anew."""
 
     async def play() -> tuple[float, int]:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
             daemons = [
-                await scene.start(f'host-{number}') for number in range(DAEMONS)
+                await platform.start(f'host-{number}')
+                for number in range(DAEMONS)
             ]
-            await scene.submit(daemons[0], JOB, 'long', longRunning=True)
-            await scene.wait_for_state(daemons[0], JOB, 'running')
-            lost = next(w for w in scene.fleet.workers if w.running)
+            await platform.submit(daemons[0], JOB, 'long', longRunning=True)
+            await platform.wait_for_state(daemons[0], JOB, 'running')
+            lost = next(w for w in platform.fleet.workers if w.running)
             lost.silent = True
             began = time.monotonic()
 
             async def is_back() -> bool:
-                return len(scene.fleet.list_starts()) > 1
+                return len(platform.fleet.list_starts()) > 1
 
             pause = moment
             for _ in range(DAEMONS - 1):
                 await asyncio.sleep(pause)
                 if await is_back():
                     break
-                await end_owner(scene, daemons, how)
+                await end_owner(platform, daemons, how)
                 pause = TENURE_SECONDS
             async with asyncio.timeout(WAIT_SECONDS):
-                await scene.wait_for(is_back)
+                await platform.wait_for(is_back)
             took = time.monotonic() - began
             await asyncio.sleep(1.0)
-            return took, len(scene.fleet.list_starts())
+            return took, len(platform.fleet.list_starts())
 
     took, starts = run(play())
     assert starts == 2
@@ -212,7 +213,7 @@
 
     async def play() -> dict[str, Any]:
         async with contextlib.AsyncExitStack() as stack:
-            store, table = open_gated_table(stack)
+            store, table = open_blocked_table(stack)
             body = {'holder': 'host-2.b', 'epoch': 3, 'data': {}}
             store.write(OWNER_ROW, orjson.dumps(['before', body]))
             candidates = Candidates(HOST)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -17,7 +17,7 @@
 from lentilmount.platform.host_settings import Capacity
 from stand_ins.table import MemoryTable
 from tests.helpers import run
-from tests.platform_scene import open_scene, wait_for_line
+from tests.platform_fixtures import open_platform, wait_for_line
 
 FIRST = '0123456789abcdef'
 SECOND = 'fedcba9876543210'
@@ -32,18 +32,18 @@
     """Orders went through the full link of a small owner, seconds late."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
-            small = await scene.start('host-1', limits=SMALL)
-            await scene.submit(small, FIRST, 'long', longRunning=True)
-            await scene.wait_for_state(small, FIRST, 'running')
-            large = await scene.start('host-2', limits=LARGE)
-            await wait_for_line(scene, large, 'Taken: desk.')
+            small = await platform.start('host-1', limits=SMALL)
+            await platform.submit(small, FIRST, 'long', longRunning=True)
+            await platform.wait_for_state(small, FIRST, 'running')
+            large = await platform.start('host-2', limits=LARGE)
+            await wait_for_line(platform, large, 'Taken: desk.')
             assert not small.select(part='owner', level='warning')
-            await scene.submit(small, SECOND)
-            await scene.wait_for_state(small, SECOND, 'completed')
-            starts = [task for task, _, _ in scene.fleet.list_starts()]
+            await platform.submit(small, SECOND)
+            await platform.wait_for_state(small, SECOND, 'completed')
+            starts = [task for task, _, _ in platform.fleet.list_starts()]
             assert sorted(starts) == [f'{FIRST}.0.0.0', f'{SECOND}.0.0.0']
 
     run(play())
--- a/tests/test_pending_jobs.py
+++ b/tests/test_pending_jobs.py
@@ -5,7 +5,7 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reconciliation import Reconciler
 from lentilmount.scheduling.reports import EndKind
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -45,13 +45,13 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.reports import EndKind, WorkerState
 from stand_ins.rowstore import Fault, RowStore
-from tests.fleet_scene import make_policy
 from tests.helpers import run
-from tests.platform_scene import (
+from tests.platform_fixtures import (
     make_configuration,
     make_settings,
     open_table,
 )
+from tests.scheduling_fixtures import make_policy
 
 KEY = Key(make_partition('mine', 'desk'), 'row')
 
--- a/tests/test_poll_intervals.py
+++ b/tests/test_poll_intervals.py
@@ -16,8 +16,8 @@
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import add_worker, make_report
 from tests.helpers import run
+from tests.scheduling_fixtures import add_worker, make_report
 
 LOOKS = 3
 
--- a/tests/test_refused_stops.py
+++ b/tests/test_refused_stops.py
@@ -16,8 +16,14 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.reports import WorkerEntry
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import add_worker, admit, find_task, make_job, run_task
 from tests.helpers import run
+from tests.scheduling_fixtures import (
+    add_worker,
+    admit,
+    find_task,
+    make_job,
+    run_task,
+)
 from tests.test_worker_session import LEASE_SECONDS, IgnoringListener
 
 
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lentilmount.status import ExitStatus
-from tests.test_explaining import run_tool
+from tests.test_diagnostic_logs import run_tool
 
 LATE, EARLY, OPEN, OTHER = 'a' * 16, 'b' * 16, 'c' * 16, 'd' * 16
 
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -17,7 +17,7 @@
     WorkerReservations,
 )
 from lentilmount.scheduling.views import Views, WorkerView
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -18,7 +18,9 @@
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.rows import encode_state, restore_state
 from lentilmount.scheduling.specs import JobSpec, TaskId
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.platform_fixtures import open_table
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
@@ -27,8 +29,6 @@
     make_step,
     run_task,
 )
-from tests.helpers import run
-from tests.platform_scene import open_table
 from tests.test_job_loader import submit
 
 
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -9,7 +9,7 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.model import Task
 from lentilmount.scheduling.reports import EndKind
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_service_release.py
+++ b/tests/test_service_release.py
@@ -15,7 +15,7 @@
 from lentilmount.platform.store import Changes, PlatformTable
 from stand_ins.rowstore import RowStore
 from tests.helpers import run
-from tests.platform_scene import SERVICE, make_election, open_store
+from tests.platform_fixtures import SERVICE, make_election, open_store
 
 WAIT_SECONDS = 10.0
 HOST = Capacity(2.1, 100.0)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -29,7 +29,7 @@
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
-from tests.platform_scene import (
+from tests.platform_fixtures import (
     PREFIX,
     listen,
     make_configuration,
--- a/tests/test_state_writer.py
+++ b/tests/test_state_writer.py
@@ -24,14 +24,14 @@
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import JobState, Task
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
     make_job,
     make_step,
 )
-from tests.helpers import run
 from tests.test_worker_session import IgnoringListener
 
 WRITES = 6
--- a/tests/test_store_health.py
+++ b/tests/test_store_health.py
@@ -15,7 +15,7 @@
 )
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
-from tests.platform_scene import make_outage_detector
+from tests.platform_fixtures import make_outage_detector
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -16,11 +16,11 @@
 from lentilmount.upstream.http import HttpClient, HttpResponse
 from stand_ins.rowstore import Fault
 from tests.helpers import run
-from tests.platform_scene import (
+from tests.platform_fixtures import (
     PREFIX,
     listen,
     make_outage_detector,
-    open_scene,
+    open_platform,
     open_store,
     wait_for_line,
 )
@@ -82,28 +82,28 @@
     """A daemon that the store turns away refused its clients."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            door = scene.open_door()
-            apart = await scene.start('host-1', door.address)
-            await wait_for_line(scene, apart, 'Taken: desk.')
-            other = await scene.start('host-2')
+        async with open_platform(tmp_path) as platform:
+            door = platform.open_store_address()
+            apart = await platform.start('host-1', door.address)
+            await wait_for_line(platform, apart, 'Taken: desk.')
+            other = await platform.start('host-2')
 
             async def knows_peers() -> bool:
                 return bool(apart.select(message='Knows 2 daemons.'))
 
-            await scene.wait_for(knows_peers)
+            await platform.wait_for(knows_peers)
             door.fault = fault
 
             async def is_accepted() -> bool:
-                return (await scene.submit(apart, FIRST)).code == 200
+                return (await platform.submit(apart, FIRST)).code == 200
 
-            await scene.wait_for(is_accepted)
+            await platform.wait_for(is_accepted)
             assert await is_accepted()
-            await scene.wait_for_state(apart, FIRST, 'completed')
-            answer = await scene.call(apart, 'GET', PREFIX)
+            await platform.wait_for_state(apart, FIRST, 'completed')
+            answer = await platform.call(apart, 'GET', PREFIX)
             assert answer.body == b'{"pending":0}'
-            assert await scene.get_state(apart, SECOND) == '410'
-            assert len(scene.fleet.list_starts()) == 1
+            assert await platform.get_state(apart, SECOND) == '410'
+            assert len(platform.fleet.list_starts()) == 1
             assert apart.select(message='Taken: desk.')
             assert apart.select(
                 message='The store is reached through another daemon.'
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -25,8 +25,8 @@
 from lentilmount.platform.documents import Route
 from lentilmount.platform.store import RefusedError
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import make_policy
 from tests.helpers import run
+from tests.scheduling_fixtures import make_policy
 
 JOB = '0123456789abcdef'
 BODY = orjson.dumps(
--- a/tests/test_table_feed.py
+++ b/tests/test_table_feed.py
@@ -16,7 +16,7 @@
 from lentilmount.upstream.http import HttpClient, HttpResponse
 from stand_ins.rowstore import Door, RowStore
 from tests.helpers import run
-from tests.platform_scene import open_table, serve_store
+from tests.platform_fixtures import open_table, serve_store
 
 SLOWEST_LINK_BYTES = 625_000
 """Bytes in a second on a link of 5 Mbit/s, the slowest of any host."""
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,20 +24,20 @@
 from lentilmount.scheduling.takeover import InheritedLeases
 from lentilmount.upstream.http import HttpClient
 from stand_ins.rowstore import RowStore
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.platform_fixtures import SERVICE, BlockedTable, open_store
+from tests.scheduling_fixtures import (
     admit,
     find_task,
     make_entry,
     make_job,
     make_step,
 )
-from tests.helpers import run
-from tests.platform_scene import SERVICE, GatedTable, open_store
 
 WAIT_SECONDS = 10.0
 
 
-class _LongTable(GatedTable):
+class _LongTable(BlockedTable):
     """Notes whether the collector passes while the jobs are read."""
 
     collects: bool | None = None
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -21,7 +21,7 @@
 from lentilmount.scheduling.placement import MAX_FAILED_STEPS, Placer
 from lentilmount.scheduling.ranking import sort_steps
 from lentilmount.scheduling.reports import EndKind, WorkerState
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
--- a/tests/test_task_placement_scale.py
+++ b/tests/test_task_placement_scale.py
@@ -12,7 +12,7 @@
 from lentilmount.scheduling.reports import EndKind
 from lentilmount.scheduling.specs import StepSpec
 from lentilmount.scheduling.views import WorkerView
-from tests.fleet_scene import (
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     make_entry,
--- a/tests/test_unanswered_commands.py
+++ b/tests/test_unanswered_commands.py
@@ -25,7 +25,14 @@
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpClient
 from stand_ins.fleet import START_PATH, STOP_PATH, FleetWorker
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.platform_fixtures import (
+    PREFIX,
+    Daemon,
+    PlatformFixture,
+    open_platform,
+)
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
@@ -34,8 +41,6 @@
     make_step,
     run_task,
 )
-from tests.helpers import run
-from tests.platform_scene import PREFIX, Daemon, Scene, open_scene
 from tests.test_refused_stops import make_command_sender
 from tests.test_worker_session import IgnoringListener
 
@@ -55,17 +60,19 @@
 the end, and the probe."""
 
 
-async def complete_jobs(scene: Scene, daemon: Daemon) -> None:
+async def complete_jobs(platform: PlatformFixture, daemon: Daemon) -> None:
     """Hands in all jobs, and waits until they are completed."""
     for job_id in JOBS:
-        await scene.submit(daemon, job_id)
+        await platform.submit(daemon, job_id)
     for job_id in JOBS:
-        await scene.wait_for_state(daemon, job_id, 'completed')
+        await platform.wait_for_state(daemon, job_id, 'completed')
 
 
-def count_starts(scene: Scene) -> collections.Counter[str]:
+def count_starts(platform: PlatformFixture) -> collections.Counter[str]:
     """Counts the starts that were carried out, by task."""
-    return collections.Counter(task for task, _, _ in scene.fleet.list_starts())
+    return collections.Counter(
+        task for task, _, _ in platform.fleet.list_starts()
+    )
 
 
 @pytest.mark.parametrize('fault', ['unanswered', 'failing'])
@@ -76,11 +83,11 @@
     """Jobs placed on a worker that answered only looks never ran."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            getattr(scene.fleet.workers[0], fault).update(paths)
-            await complete_jobs(scene, daemon)
-            assert set(count_starts(scene).values()) == {1}
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            getattr(platform.fleet.workers[0], fault).update(paths)
+            await complete_jobs(platform, daemon)
+            assert set(count_starts(platform).values()) == {1}
 
     run(play())
 
@@ -91,15 +98,15 @@
     """A task given up for a start without an answer could run twice."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            odd = scene.fleet.workers[0]
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            odd = platform.fleet.workers[0]
             odd.unanswered |= ORDERS
             odd.late_seconds = LATE_SECONDS
-            await complete_jobs(scene, daemon)
+            await complete_jobs(platform, daemon)
             await asyncio.sleep(LATE_SECONDS)
             assert not odd.started
-            assert set(count_starts(scene).values()) == {1}
+            assert set(count_starts(platform).values()) == {1}
 
     run(play())
 
@@ -110,17 +117,17 @@
     """A running task was stopped to find out whether orders are answered."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
                 worker.unanswered |= ORDERS
                 worker.hears = True
-            await scene.submit(daemon, LASTING, 'long', longRunning=True)
-            await scene.wait_for_state(daemon, LASTING, 'running')
+            await platform.submit(daemon, LASTING, 'long', longRunning=True)
+            await platform.wait_for_state(daemon, LASTING, 'running')
             await asyncio.sleep(LATE_SECONDS)
-            assert len(scene.fleet.list_starts()) == 1
-            assert any(worker.running for worker in scene.fleet.workers)
+            assert len(platform.fleet.list_starts()) == 1
+            assert any(worker.running for worker in platform.fleet.workers)
 
     run(play())
 
@@ -131,35 +138,37 @@
     """A worker that got well was left without work."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            odd = scene.fleet.workers[0]
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            odd = platform.fleet.workers[0]
             odd.unanswered |= ORDERS
-            await complete_jobs(scene, daemon)
+            await complete_jobs(platform, daemon)
             odd.unanswered.clear()
-            await scene.submit(
+            await platform.submit(
                 daemon, LASTING, count=2, cpu=5000, longRunning=True
             )
 
             async def is_used() -> bool:
                 return bool(odd.started)
 
-            await scene.wait_for(is_used)
+            await platform.wait_for(is_used)
 
     run(play())
 
 
-async def start_lasting(scene: Scene, daemon: Daemon) -> FleetWorker:
+async def start_lasting(
+    platform: PlatformFixture, daemon: Daemon
+) -> FleetWorker:
     """Starts a lasting task; returns the worker that runs it."""
-    for worker in scene.fleet.workers:
+    for worker in platform.fleet.workers:
         worker.lasts.add('long')
-    await scene.submit(daemon, LASTING, 'long', longRunning=True)
+    await platform.submit(daemon, LASTING, 'long', longRunning=True)
 
     async def runs() -> bool:
-        return any(worker.running for worker in scene.fleet.workers)
+        return any(worker.running for worker in platform.fleet.workers)
 
-    await scene.wait_for(runs)
-    return next(w for w in scene.fleet.workers if w.running)
+    await platform.wait_for(runs)
+    return next(w for w in platform.fleet.workers if w.running)
 
 
 def test_a_cancelled_task_ends_where_no_stop_is_answered(
@@ -168,19 +177,19 @@
     """A cancelled task ran on for as long as its worker answered looks."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            odd = await start_lasting(scene, daemon)
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            odd = await start_lasting(platform, daemon)
             odd.unanswered.add(STOP_PATH)
-            answer = await scene.call(daemon, 'DELETE', PREFIX + LASTING)
+            answer = await platform.call(daemon, 'DELETE', PREFIX + LASTING)
             assert answer.code == 200
 
             async def has_ended() -> bool:
                 odd.step()
                 return not odd.running
 
-            await scene.wait_for(has_ended)
-            assert len(scene.fleet.list_starts()) == 1
+            await platform.wait_for(has_ended)
+            assert len(platform.fleet.list_starts()) == 1
 
     run(play())
 
@@ -192,12 +201,12 @@
     """A worker that failed all orders was sent 78 a second."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            daemon = await scene.start()
-            odd = scene.fleet.workers[0]
+        async with open_platform(tmp_path) as platform:
+            daemon = await platform.start()
+            odd = platform.fleet.workers[0]
             getattr(odd, fault).update(ORDERS)
             for job_id in JOBS:
-                await scene.submit(daemon, job_id)
+                await platform.submit(daemon, job_id)
             await asyncio.sleep(WATCHED_SECONDS)
             assert len(odd.asked) <= MOST_ORDERS_PER_SECOND * WATCHED_SECONDS
 
--- a/tests/test_worker_restarts.py
+++ b/tests/test_worker_restarts.py
@@ -7,7 +7,7 @@
 
 from stand_ins.fleet import FleetWorker
 from tests.helpers import run
-from tests.platform_scene import open_scene
+from tests.platform_fixtures import open_platform
 
 JOB = '0123456789abcdef'
 
@@ -26,24 +26,24 @@
     """One restart of a worker was taken for two, and a task ran twice."""
 
     async def play() -> None:
-        async with open_scene(tmp_path) as scene:
-            for worker in scene.fleet.workers:
+        async with open_platform(tmp_path) as platform:
+            for worker in platform.fleet.workers:
                 worker.lasts.add('long')
-            daemon = await scene.start()
+            daemon = await platform.start()
             # So small that its tasks are spread over the workers.
-            await scene.submit(
+            await platform.submit(
                 daemon, JOB, 'long', count=2, cpu=100, longRunning=True
             )
 
             async def runs_everywhere() -> bool:
-                return all(w.running for w in scene.fleet.workers)
+                return all(w.running for w in platform.fleet.workers)
 
-            await scene.wait_for(runs_everywhere)
-            first, other = scene.fleet.workers
+            await platform.wait_for(runs_everywhere)
+            first, other = platform.fleet.workers
             first.restart()
-            await scene.wait_for(runs_everywhere)
+            await platform.wait_for(runs_everywhere)
             assert (count_starts(first), count_starts(other)) == (2, 1)
-            scene.fleet.register(first)
+            platform.fleet.register(first)
             await asyncio.sleep(SETTLED_SECONDS)
             assert (count_starts(first), count_starts(other)) == (2, 1)
             assert await runs_everywhere()
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -24,7 +24,8 @@
 from lentilmount.scheduling.reconciliation import ReconcileResult
 from lentilmount.scheduling.reports import WorkerEntry, WorkerReport
 from lentilmount.upstream.http import HttpClient
-from tests.fleet_scene import (
+from tests.helpers import run
+from tests.scheduling_fixtures import (
     add_worker,
     admit,
     find_task,
@@ -34,7 +35,6 @@
     make_step,
     run_task,
 )
-from tests.helpers import run
 
 LEASE_SECONDS = 6.0
 CALL_SECONDS = 1.0
