--- a/lentilmount/batch/budget.py
+++ b/lentilmount/batch/budget.py
@@ -21,7 +21,7 @@
         self.forced = 0
         self._per_hour = per_hour
         self._tokens = 0.0
-        self._at = now
+        self._refilled_at = now
 
     @property
     def burst(self) -> float:
@@ -30,18 +30,18 @@
 
     def set_rate(self, per_hour: float, now: float) -> None:
         """Changes the evictions that an hour allows."""
-        self._fill(now)
+        self._refill(now)
         self._per_hour = per_hour
         self._tokens = min(self._tokens, self.burst)
 
-    def _fill(self, now: float) -> None:
-        earned = max(0.0, now - self._at) * self._per_hour / 3600
+    def _refill(self, now: float) -> None:
+        earned = max(0.0, now - self._refilled_at) * self._per_hour / 3600
         self._tokens = min(self.burst, self._tokens + earned)
-        self._at = max(now, self._at)
+        self._refilled_at = max(now, self._refilled_at)
 
     def try_spend(self, now: float) -> bool:
         """Spends one eviction if the budget allows it."""
-        self._fill(now)
+        self._refill(now)
         if self._per_hour <= 0 or self._tokens < 1 - 1e-9:
             return False
         self._tokens -= 1
@@ -52,7 +52,7 @@
 
         It takes what tokens there are, so it leaves fewer for the rest.
         """
-        self._fill(now)
+        self._refill(now)
         if self._tokens < 1:
             self.forced += 1
         self._tokens = max(0.0, self._tokens - 1)
--- a/lentilmount/batch/checkpoints.py
+++ b/lentilmount/batch/checkpoints.py
@@ -28,7 +28,7 @@
     _newest: dict[AttemptKey, str] = attrs.Factory(dict)
     _noted: dict[AttemptKey, float] = attrs.Factory(dict)
 
-    def learn(self, reports: Iterable[AttemptReport]) -> None:
+    def update(self, reports: Iterable[AttemptReport]) -> None:
         """Takes in what a worker reported."""
         for report in reports:
             if report.checkpoint:
@@ -69,7 +69,7 @@
                 draft.set_checkpoint(current, self._newest[key])
                 self._noted[key] = now
 
-    def keep(self, known: Collection[AttemptKey]) -> None:
+    def discard_others(self, known: Collection[AttemptKey]) -> None:
         """Forgets all attempts but these."""
         for kept in (self._newest, self._noted):
             for key in [key for key in kept if key not in known]:
--- a/lentilmount/batch/drafts.py
+++ b/lentilmount/batch/drafts.py
@@ -30,7 +30,7 @@
     """A placement that the worker's ledger has no room for."""
 
 
-class Rows(Protocol):
+class SliceRows(Protocol):
     """The rows of a slice as the table has them."""
 
     @property
@@ -56,13 +56,13 @@
       notes: What goes to the time line once it is committed.
     """
 
-    ledger: Rows
+    ledger: SliceRows
     tasks: dict[str, Task] = attrs.Factory(dict)
     workers: dict[str, WorkerRecord] = attrs.Factory(dict)
     changes: list[dict[str, Any]] = attrs.Factory(list)
     consumed: list[Row] = attrs.Factory(list)
-    aside: list[tuple[Row, str]] = attrs.Factory(list)
-    notes: list[tuple[EventKind, Task, str]] = attrs.Factory(list)
+    unreadable: list[tuple[Row, str]] = attrs.Factory(list)
+    events: list[tuple[EventKind, Task, str]] = attrs.Factory(list)
 
     def get_task(self, task: str) -> Task | None:
         """Returns a task as this transaction would leave it."""
@@ -81,7 +81,7 @@
     def is_full(self) -> bool:
         """Whether another move might not fit in the transaction."""
         used = 2 * len(self.tasks) + len(self.workers)
-        used += len(self.consumed) + len(self.aside)
+        used += len(self.consumed) + len(self.unreadable)
         spare = OPERATIONS_A_MOVE + SHARED_OPERATIONS
         return used + spare > MAX_OPERATIONS
 
@@ -93,8 +93,8 @@
             dict(self.workers),
             list(self.changes),
             list(self.consumed),
-            list(self.aside),
-            list(self.notes),
+            list(self.unreadable),
+            list(self.events),
         )
 
     def restore(self, copy: Draft) -> None:
@@ -103,8 +103,8 @@
         self.workers = copy.workers
         self.changes = copy.changes
         self.consumed = copy.consumed
-        self.aside = copy.aside
-        self.notes = copy.notes
+        self.unreadable = copy.unreadable
+        self.events = copy.events
 
     def admit(self, task: Task) -> None:
         """Adds a task that is new to the slice."""
@@ -118,10 +118,10 @@
         """Records where a task could resume from; no move."""
         self.tasks[task.id] = attrs.evolve(task, checkpoint=checkpoint)
 
-    def set_aside(self, row: Row, error: str) -> None:
+    def keep_unreadable(self, row: Row, error: str) -> None:
         """Moves an inbox row that cannot be read to where it is kept."""
         self.consumed.append(row)
-        self.aside.append((row, error))
+        self.unreadable.append((row, error))
 
     def place(self, task: Task, worker: WorkerRecord) -> Task:
         """Commits a pending task to a worker.
@@ -161,5 +161,5 @@
 
     def _note(self, kind: EventKind, task: Task) -> None:
         self.tasks[task.id] = task
-        self.notes.append((kind, task, task.reason))
+        self.events.append((kind, task, task.reason))
         self.changes.append({'event': kind.value, 'task': unstructure(task)})
--- a/lentilmount/batch/fairness.py
+++ b/lentilmount/batch/fairness.py
@@ -31,7 +31,7 @@
         self._parts = parts
         self._held: dict[str, Room] = {}
 
-    def renew(self, capacity: Room) -> None:
+    def set_capacity(self, capacity: Room) -> None:
         """Takes over what the workers have, and any new quota or weight."""
         self._capacity = capacity
         self._shares.clear()
@@ -40,12 +40,12 @@
         """Returns what a team's jobs hold in this slice."""
         return self._held.get(team, Room())
 
-    def take(self, task: Task) -> None:
+    def add_job(self, task: Task) -> None:
         """Counts a job that was committed to a worker."""
         self._held[task.team] = self.get_held(task.team).add(task.demand)
         self._shares.pop(task.team, None)
 
-    def give_back(self, task: Task) -> None:
+    def remove_job(self, task: Task) -> None:
         """Counts a job whose commitment ended."""
         self._held[task.team] = self.get_held(task.team).subtract(task.demand)
         self._shares.pop(task.team, None)
--- a/lentilmount/batch/headroom.py
+++ b/lentilmount/batch/headroom.py
@@ -7,8 +7,8 @@
 import attrs
 
 from lentilmount.batch.interference import InterferenceModel
-from lentilmount.batch.isolation import TINY_EFFECT
-from lentilmount.batch.learning import name_class
+from lentilmount.batch.isolation import MIN_EFFECT
+from lentilmount.batch.learning import get_class_name
 from lentilmount.batch.occupancy import Occupancy
 from lentilmount.batch.records import Task
 
@@ -53,7 +53,7 @@
         return self.quiet + min(self.noisy, NOISY_PART * limit)
 
 
-class Strains:
+class HeadroomTracker:
     """The strain on every service, kept for each worker.
 
     Args:
@@ -66,8 +66,8 @@
     """
 
     def __init__(self, occupancy: Occupancy, model: InterferenceModel):
-        self.begun: dict[str, float] = {}
-        self.limit = 0.0
+        self.initial_shares: dict[str, float] = {}
+        self.slowdown_limit = 0.0
         self._occupancy = occupancy
         self._model = model
         self._bands: dict[str, dict[int, float]] = {}
@@ -78,7 +78,7 @@
         """Works everything out anew when next asked."""
         self._strains.clear()
 
-    def drop(self, worker: str) -> None:
+    def invalidate(self, worker: str) -> None:
         """Works a worker's services out anew when next asked."""
         self._strains.pop(worker, None)
 
@@ -86,36 +86,42 @@
         """Drops what is remembered of a task that left its worker."""
         self._idle.discard(task)
         self._bands.pop(task, None)
-        self.begun.pop(task, None)
+        self.initial_shares.pop(task, None)
 
-    def note_idle(self, worker: str, task: str) -> None:
+    def record_idle(self, worker: str, task: str) -> None:
         """Takes note that a service had no requests."""
         if task not in self._idle:
             self._idle.add(task)
-            self.drop(worker)
+            self.invalidate(worker)
 
-    def note_load(self, worker: str, task: str, band: int, at: float) -> None:
+    def record_load(self, worker: str, task: str, band: int, at: float) -> None:
         """Takes note of a service's load band."""
         self._idle.discard(task)
         self._bands.setdefault(task, {})[band] = at
-        self.drop(worker)
+        self.invalidate(worker)
 
-    def find_share(self, name: str, worker: str, now: float) -> float:
+    def get_allowed_share(self, name: str, worker: str, now: float) -> float:
         """Returns how much of its processors a class may use on a worker."""
         share = 1.0
-        for strain in self.list_strains(worker, now):
+        for slowdown in self.list_slowdowns(worker, now):
             mean, variance = self._model.get_term(
-                strain.service, name, strain.band, now
+                slowdown.service, name, slowdown.band, now
             )
-            doubt = CAUTION * math.sqrt(strain.variance + variance)
-            room = self.limit - strain.get_total(self.limit) - doubt
-            if mean > NOISY_EFFECT * self.limit:
-                room = min(room, NOISY_PART * self.limit - strain.noisy)
+            doubt = CAUTION * math.sqrt(slowdown.variance + variance)
+            room = (
+                self.slowdown_limit
+                - slowdown.get_total(self.slowdown_limit)
+                - doubt
+            )
+            if mean > NOISY_EFFECT * self.slowdown_limit:
+                room = min(
+                    room, NOISY_PART * self.slowdown_limit - slowdown.noisy
+                )
             if mean > room:
-                share = min(share, max(0.0, room / max(mean, TINY_EFFECT)))
+                share = min(share, max(0.0, room / max(mean, MIN_EFFECT)))
         return share
 
-    def list_strains(self, worker: str, now: float) -> list[Strain]:
+    def list_slowdowns(self, worker: str, now: float) -> list[Strain]:
         """Returns the services of a worker that are to be kept fast."""
         strains = self._strains.get(worker)
         if strains is None:
@@ -139,20 +145,20 @@
 
     def _strain(self, task: Task, now: float) -> Strain:
         bands = self._list_bands(task, now)
-        strain = Strain(task.resource, max(bands, default=0))
-        noisy = NOISY_EFFECT * self.limit
+        slowdown = Strain(task.resource, max(bands, default=0))
+        noisy = NOISY_EFFECT * self.slowdown_limit
         for job in self._occupancy.list_tasks(task.worker):
             if job.is_service:
                 continue
             # A throttled job counts as it was begun: new jobs in the room that
             # its throttle made would keep it throttled for ever.
-            share = self.begun.get(job.id, job.share)
+            share = self.initial_shares.get(job.id, job.share)
             mean, variance = self._model.get_term(
-                strain.service, name_class(job), strain.band, now
+                slowdown.service, get_class_name(job), slowdown.band, now
             )
-            strain.variance += share * share * variance
+            slowdown.variance += share * share * variance
             if mean > noisy:
-                strain.noisy += share * mean
+                slowdown.noisy += share * mean
             else:
-                strain.quiet += share * mean
-        return strain
+                slowdown.quiet += share * mean
+        return slowdown
--- a/lentilmount/batch/interference.py
+++ b/lentilmount/batch/interference.py
@@ -33,7 +33,7 @@
 )
 
 
-def find_band(load: float) -> int:
+def get_load_band(load: float) -> int:
     """Returns the load band of a service."""
     return bisect.bisect_right(BAND_EDGES, load)
 
--- a/lentilmount/batch/interference_control.py
+++ b/lentilmount/batch/interference_control.py
@@ -8,11 +8,11 @@
 
 import attrs
 
-from lentilmount.batch.headroom import Strains
-from lentilmount.batch.interference import InterferenceModel, find_band
+from lentilmount.batch.headroom import HeadroomTracker
+from lentilmount.batch.interference import InterferenceModel, get_load_band
 from lentilmount.batch.isolation import (
-    LEAST_CHANGE,
-    LEAST_SHARE,
+    MIN_CHANGE,
+    MIN_SHARE,
     EvictAction,
     Isolator,
     Limits,
@@ -21,8 +21,8 @@
     make_limits,
     tighten,
 )
-from lentilmount.batch.learning import LEAST_CORES, SizeLearner, name_class
-from lentilmount.batch.occupancy import Occupancy, is_movable
+from lentilmount.batch.learning import MIN_CORES, SizeLearner, get_class_name
+from lentilmount.batch.occupancy import Occupancy, is_evictable
 from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.placement import Cost
 from lentilmount.batch.records import Task, WorkerRecord
@@ -37,7 +37,7 @@
 would hold the rest for nothing."""
 
 LONG_WAIT_SECONDS = 600.0
-"""After which a job is begun with `LEAST_SHARE` rather than never."""
+"""After which a job is begun with `MIN_SHARE` rather than never."""
 
 CORES_A_DOUBLING = 12.0
 """What a service that becomes e times slower costs, in cores left free."""
@@ -116,7 +116,7 @@
         self._read: dict[str, tuple[Usage, ...]] = {}
         self._measured: dict[str, float] = {}
         self._learned: dict[str, float] = {}
-        self._strains = Strains(occupancy, self.model)
+        self._strains = HeadroomTracker(occupancy, self.model)
         self._sent: dict[tuple[str, int], float] = {}
         self._caps: dict[str, float] = {}
         self._set_limit()
@@ -131,11 +131,11 @@
 
     def _set_limit(self) -> None:
         high = tighten(self._limits, self._lag).high
-        self._strains.limit = math.log(high)
+        self._strains.slowdown_limit = math.log(high)
 
     def invalidate(self, worker: str) -> None:
         """Takes note that other tasks are on a worker."""
-        self._strains.drop(worker)
+        self._strains.invalidate(worker)
 
     def forget(self, task: str) -> None:
         """Drops what is remembered of a task that left its worker."""
@@ -144,7 +144,9 @@
         self._caps.pop(task, None)
         self._strains.forget(task)
 
-    def read(self, session: WorkerLink, now: float) -> list[EvictAction]:
+    def process_usage(
+        self, session: WorkerLink, now: float
+    ) -> list[EvictAction]:
         """Takes in what a worker measured, and acts on it.
 
         Returns:
@@ -198,7 +200,7 @@
             self.throttle(
                 session, ThrottleAction(job.id, job.attempt, share), now
             )
-        if verdict.move and is_movable(job) and self._try_spend():
+        if verdict.relocate and is_evictable(job) and self._try_spend():
             return [EvictAction(job.id, job.attempt, OVERRUN)]
         return []
 
@@ -222,10 +224,10 @@
         self, worker: str, task: Task, usage: Usage, at: float
     ) -> _Reading | None:
         if usage.p99_ms <= 0:
-            self._strains.note_idle(worker, task.id)
+            self._strains.record_idle(worker, task.id)
             return None
-        band = find_band(usage.load)
-        self._strains.note_load(worker, task.id, band, at)
+        band = get_load_band(usage.load)
+        self._strains.record_load(worker, task.id, band, at)
         mix = self._occupancy.get_mean_mix(worker, at - WINDOW_SECONDS, at)
         if mix is None:
             return None
@@ -250,12 +252,12 @@
                 attempt=job.attempt,
                 effect=job.share
                 * self.model.get_effect(
-                    worst.service, name_class(job), worst.band
+                    worst.service, get_class_name(job), worst.band
                 ),
                 share=self._occupancy.get_throttle(job),
-                cost=self._occupancy.get_seconds(job.id, now),
+                cost=self._occupancy.get_running_seconds(job.id, now),
             )
-            for job in self._occupancy.list_jobs(worker)
+            for job in self._occupancy.list_evictable_jobs(worker)
         ]
 
     def throttle(
@@ -267,7 +269,7 @@
             return
         share = min(act.share, self._caps.get(job.id, 1.0))
         self._occupancy.set_throttle(job, share, now)
-        self._strains.drop(job.worker)
+        self._strains.invalidate(job.worker)
         self._send(session, job, share, now)
 
     def resend(self, sessions: Mapping[str, WorkerLink], now: float) -> None:
@@ -289,7 +291,9 @@
         session.wake()
         self._sent[job.id, job.attempt] = now
 
-    def make_cost(self, task: Task, now: float, waited: float = 0.0) -> Cost:
+    def make_cost(
+        self, task: Task, now: float, pending_seconds: float = 0.0
+    ) -> Cost:
         """Returns what placing a task on a worker costs its services.
 
         A job is kept off where a service would probably become slower than
@@ -298,56 +302,60 @@
         Args:
           task: What is to be placed.
           now: Monotonic time.
-          waited: For how many seconds it has been pending.
+          pending_seconds: For how many seconds it has been pending.
         """
         if task.is_service:
             return lambda record: self._price_service(task, record, now)
-        name = name_class(task)
-        least = START_SHARE if waited < LONG_WAIT_SECONDS else LEAST_SHARE
+        name = get_class_name(task)
+        least = (
+            START_SHARE if pending_seconds < LONG_WAIT_SECONDS else MIN_SHARE
+        )
         return lambda record: self._price_job(name, least, record, now)
 
     def _price_job(
         self, name: str, least: float, record: WorkerRecord, now: float
     ) -> float:
         price = 0.0
-        share = self._strains.find_share(name, record.name, now)
+        share = self._strains.get_allowed_share(name, record.name, now)
         if share < least:
             return math.inf
-        for strain in self._strains.list_strains(record.name, now):
+        for slowdown in self._strains.list_slowdowns(record.name, now):
             mean, _ = self.model.get_term(
-                strain.service, name, strain.band, now
+                slowdown.service, name, slowdown.band, now
             )
-            total = strain.get_total(self._strains.limit)
+            total = slowdown.get_total(self._strains.slowdown_limit)
             price += total + 2 * mean * share
         price *= CORES_A_DOUBLING * self._weights.tail_weight
         return price + CORES_A_FULL_THROTTLE * (1 - share)
 
-    def limit(self, job: Task, worker: str, now: float) -> Task:
+    def limit_cores(self, job: Task, worker: str, now: float) -> Task:
         """Gives a job fewer processors where its worker calls for it.
 
         A class that no service can bear at full speed would else never run,
         and throttled after the start it would hold what it may not use. Where
         its size is not known, a part of what was declared may be all that it
-        wants, so it is throttled after all; see `begin`.
+        wants, so it is throttled after all; see `apply_initial_throttle`.
         """
-        self._strains.drop(worker)
+        self._strains.invalidate(worker)
         if job.is_service:
             return job
-        share = self._strains.find_share(name_class(job), worker, now)
-        self._strains.begun.pop(job.id, None)
-        if share > 1 - LEAST_CHANGE:
+        share = self._strains.get_allowed_share(
+            get_class_name(job), worker, now
+        )
+        self._strains.initial_shares.pop(job.id, None)
+        if share > 1 - MIN_CHANGE:
             return attrs.evolve(job, share=1.0)
-        share = max(LEAST_SHARE, round(share, 2))
-        self._strains.begun[job.id] = share
-        if not self._sizes.knows(job):
+        share = max(MIN_SHARE, round(share, 2))
+        self._strains.initial_shares[job.id] = share
+        if not self._sizes.is_known(job):
             return attrs.evolve(job, share=1.0)
-        cores = max(LEAST_CORES, round(job.demand.cores * share, 2))
+        cores = max(MIN_CORES, round(job.demand.cores * share, 2))
         demand = attrs.evolve(job.demand, cores=min(cores, job.demand.cores))
         return attrs.evolve(job, demand=demand, share=share)
 
-    def begin(self, job: Task, now: float) -> None:
-        """Throttles a job from its start that `limit` did not cut."""
-        share = self._strains.begun.get(job.id, 1.0)
+    def apply_initial_throttle(self, job: Task, now: float) -> None:
+        """Throttles a job from its start that `limit_cores` did not cut."""
+        share = self._strains.initial_shares.get(job.id, 1.0)
         if job.share == 1 and share < 1:
             self._occupancy.set_throttle(job, share, now)
 
@@ -355,7 +363,7 @@
         self, task: Task, record: WorkerRecord, now: float
     ) -> float:
         mix = self._occupancy.get_mix(record.name)
-        band = find_band(1.0)
+        band = get_load_band(1.0)
         expected = self.model.predict(task.resource, band, mix, now)
         weight = CORES_A_DOUBLING * self._weights.tail_weight
         return weight * math.log(expected.ratio)
--- a/lentilmount/batch/isolation.py
+++ b/lentilmount/batch/isolation.py
@@ -9,7 +9,7 @@
 
 from lentilmount.resources import ConfigurationSpec
 
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 """A job keeps this share of its processors however it is throttled."""
 
 CONFIRMATIONS = 2
@@ -38,11 +38,11 @@
 RELAX_FACTOR = 1.0
 """Most that a relaxation adds, as a multiple of the share so far."""
 
-LEAST_CHANGE = 0.05
+MIN_CHANGE = 0.05
 """Smaller changes of a share are not made."""
 
 PATIENCE_SECONDS = 20.0
-TINY_EFFECT = 0.01
+MIN_EFFECT = 0.01
 """Jobs that cost a service less are not worth throttling."""
 
 
@@ -197,7 +197,7 @@
     ) -> list[ThrottleAction | EvictAction]:
         state.low_since = None
         state.high_count += 1
-        able = [n for n in neighbours if n.effect >= TINY_EFFECT]
+        able = [n for n in neighbours if n.effect >= MIN_EFFECT]
         if state.high_count < CONFIRMATIONS or not able:
             return []
         wanted = math.log(ratio) - _get_aim(limits)
@@ -262,10 +262,10 @@
     ):
         if wanted <= 0:
             break
-        spare = neighbour.share - LEAST_SHARE
-        if spare < LEAST_CHANGE:
+        spare = neighbour.share - MIN_SHARE
+        if spare < MIN_CHANGE:
             continue
-        cut = min(spare, max(wanted / neighbour.effect, LEAST_CHANGE))
+        cut = min(spare, max(wanted / neighbour.effect, MIN_CHANGE))
         wanted -= cut * neighbour.effect
         share = round(neighbour.share - cut, 3)
         throttles.append(
@@ -280,10 +280,10 @@
     """Gives the quietest jobs processors back while it should do no harm."""
     throttles = []
     for neighbour in sorted(throttled, key=lambda n: n.effect):
-        effect = max(neighbour.effect, TINY_EFFECT)
-        most = max(LEAST_CHANGE, RELAX_FACTOR * neighbour.share)
+        effect = max(neighbour.effect, MIN_EFFECT)
+        most = max(MIN_CHANGE, RELAX_FACTOR * neighbour.share)
         more = min(1.0 - neighbour.share, most, room / effect)
-        if more < min(LEAST_CHANGE, 1.0 - neighbour.share):
+        if more < min(MIN_CHANGE, 1.0 - neighbour.share):
             break
         room -= more * effect
         share = round(neighbour.share + more, 3)
--- a/lentilmount/batch/learning.py
+++ b/lentilmount/batch/learning.py
@@ -22,14 +22,14 @@
 MARGIN = 1.15
 """What is committed over the quantile; more is enforced by the worker."""
 
-LEAST_CORES = 0.25
-LEAST_MEMORY_MB = 128
+MIN_CORES = 0.25
+MIN_MEMORY_MB = 128
 SATURATED = 0.95
-LEAST_REPORTS = 3
+MIN_REPORTS = 3
 """Measurements of an attempt before its sizes count."""
 
 
-def name_class(task: Task) -> str:
+def get_class_name(task: Task) -> str:
     """Returns the name that a task's class is learned under."""
     # What runs beside what is kept for each worker over time: a text of its
     # own in each entry took a MiB for 725 tasks.
@@ -100,12 +100,12 @@
         peak.memory_mb = max(peak.memory_mb, usage.memory_mb)
         peak.reports += 1
 
-    def finish(self, task: Task, seconds: float) -> None:
+    def record_completion(self, task: Task, seconds: float) -> None:
         """Takes in that an attempt completed after some seconds."""
         peak = self._peaks.pop((task.id, task.attempt), None)
-        model = self._get(name_class(task))
+        model = self._get(get_class_name(task))
         model.seconds.add(seconds)
-        if peak is not None and peak.reports >= LEAST_REPORTS:
+        if peak is not None and peak.reports >= MIN_REPORTS:
             if not peak.saturated:
                 model.cores.add(peak.cores)
             model.memory.add(peak.memory_mb)
@@ -115,9 +115,9 @@
         """Drops the measurements of an attempt that did not complete."""
         self._peaks.pop((task.id, task.attempt), None)
 
-    def knows(self, task: Task) -> bool:
+    def is_known(self, task: Task) -> bool:
         """Tells whether the sizes of a job's class are known."""
-        model = self._classes.get(name_class(task))
+        model = self._classes.get(get_class_name(task))
         return model is not None and len(model.cores.window) >= ENOUGH
 
     def get_demand(self, task: Task, declared: Demand) -> Demand:
@@ -126,21 +126,21 @@
         Memory beyond the commitment ends an attempt, so all that was seen
         counts; processors are shared out, so a high quantile does.
         """
-        model = self._classes.get(name_class(task))
-        if model is None or not self.knows(task):
+        model = self._classes.get(get_class_name(task))
+        if model is None or not self.is_known(task):
             return declared
         if model.size is None:
             cores = model.cores.get(SIZE_QUANTILE) * MARGIN
             memory = model.memory.get(1.0) * MARGIN
             model.size = Demand(
-                round(max(LEAST_CORES, cores), 2),
-                max(LEAST_MEMORY_MB, int(memory)),
+                round(max(MIN_CORES, cores), 2),
+                max(MIN_MEMORY_MB, int(memory)),
             )
         return attrs.evolve(model.size, accelerators=declared.accelerators)
 
     def get_seconds(self, task: Task, share: float = 0.9) -> float:
         """Returns a quantile of the run time: learned, or as declared."""
-        model = self._classes.get(name_class(task))
+        model = self._classes.get(get_class_name(task))
         if model is None or len(model.seconds.window) < ENOUGH:
             return task.expected_seconds
         return model.seconds.get(share)
--- a/lentilmount/batch/ledger.py
+++ b/lentilmount/batch/ledger.py
@@ -22,17 +22,17 @@
 from lentilmount.batch.offline_renewal import (
     INHERITED,
     TASK_LEASE,
-    extend,
-    retire,
-    settle,
+    extend_offline_renewal,
+    reset_offline_renewal,
+    withdraw_offline_renewal,
 )
 from lentilmount.batch.records import (
     Task,
     WorkerRecord,
-    make_aside_key,
     make_change_key,
     make_done_key,
     make_task_key,
+    make_unreadable_key,
     make_worker_key,
 )
 from lentilmount.batch.write_limiter import WriteLimiter
@@ -86,9 +86,9 @@
     offline_renewal_seconds: float = 600.0
     task_lease_seconds: float = 15.0
 
-    def extend_promise(self, data: dict[str, Any]) -> dict[str, Any]:
+    def extend_offline_renewal(self, data: dict[str, Any]) -> dict[str, Any]:
         """Returns a lease's data for a takeover; see `promise`."""
-        return extend(
+        return extend_offline_renewal(
             data, self.offline_renewal_seconds, self.task_lease_seconds
         )
 
@@ -146,7 +146,7 @@
         self.workers: dict[str, WorkerRecord] = {}
         self.observers: list[Callable[[Task], None]] = []
         self.generation = 0
-        self.unread: set[str] = set()
+        self.unreadable: set[str] = set()
         self._table = table
         self._keeper = keeper
         self._events = events
@@ -186,7 +186,7 @@
             try:
                 into[row.key.sort] = structure(row.body, cls)
             except InvalidError as error:
-                self.unread.add(row.key.sort)
+                self.unreadable.add(row.key.sort)
                 log.error('Row {} cannot be read: {}.', row.key, error)
             self._versions[row.key] = row.version
 
@@ -197,7 +197,7 @@
         """
         for commit in self._commits:
             commit.cancel()
-        retire(self.lease.data)
+        withdraw_offline_renewal(self.lease.data)
 
     @contextlib.asynccontextmanager
     async def change(self, *, urgent: bool = False) -> AsyncIterator[Draft]:
@@ -239,7 +239,7 @@
         async with self._lock:
             if self._monotonic() > self._settles_at:
                 options = self._options
-                settle(
+                reset_offline_renewal(
                     self.lease.data,
                     options.offline_renewal_seconds,
                     options.task_lease_seconds,
@@ -247,7 +247,7 @@
             await self._write([])
 
     @property
-    def is_paced(self) -> bool:
+    def is_write_limited(self) -> bool:
         """Whether what is not urgent has to wait."""
         return not self._pace.is_open
 
@@ -307,8 +307,8 @@
             key = make_worker_key(self.slice_name, worker.name)
             operations.append(self._put(key, unstructure(worker)))
         operations += [Delete(row.key, row.version) for row in draft.consumed]
-        for row, error in draft.aside:
-            key = make_aside_key(self.slice_name, row.key.sort)
+        for row, error in draft.unreadable:
+            key = make_unreadable_key(self.slice_name, row.key.sort)
             operations.append(Put(key, {'row': row.body, 'error': error}))
         if draft.changes:
             operations += self._log_changes(draft.changes)
@@ -383,7 +383,7 @@
                 observe(task)
         self.workers.update(draft.workers)
         self.generation += 1
-        for kind, task, cause in draft.notes:
+        for kind, task, cause in draft.events:
             self._events.record(
                 'batch',
                 kind,
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -141,8 +141,10 @@
                 if not self._stopping and await self._is_mine(slice_name):
                     lease = await self._keeper.try_acquire(
                         make_slice_key(slice_name),
-                        lambda told: self._ledger_options.extend_promise(
-                            told.data
+                        lambda told: (
+                            self._ledger_options.extend_offline_renewal(
+                                told.data
+                            )
                         ),
                     )
                     if lease is not None:
@@ -160,7 +162,7 @@
         version = row.version if row else 0
         held = row is not None and bool(row.body['holder'])
         if held and version != self._versions.get(slice_name):
-            self._preference.note_held(slice_name)
+            self._preference.record_held(slice_name)
         self._versions[slice_name] = version
         return self._preference.should_acquire(slice_name)
 
--- a/lentilmount/batch/occupancy.py
+++ b/lentilmount/batch/occupancy.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lentilmount.batch.learning import name_class
+from lentilmount.batch.learning import get_class_name
 from lentilmount.batch.records import Task
 from lentilmount.batch.states import COMMITTED_PHASES
 from lentilmount.resources import Phase
@@ -85,7 +85,7 @@
         held = self._held.get(task)
         return held.task if held else None
 
-    def get_seconds(self, task: str, now: float) -> float:
+    def get_running_seconds(self, task: str, now: float) -> float:
         """Returns for how long a task has run, as far as is known."""
         held = self._held.get(task)
         if held is None or held.since is None:
@@ -96,10 +96,10 @@
         """Returns the tasks on a worker."""
         return [self._held[name].task for name in self._by_worker[worker]]
 
-    def list_jobs(self, worker: str) -> Iterator[Task]:
+    def list_evictable_jobs(self, worker: str) -> Iterator[Task]:
         """Yields the jobs on a worker that may be throttled or evicted."""
         for task in self.list_tasks(worker):
-            if is_movable(task):
+            if is_evictable(task):
                 yield task
 
     def get_throttle(self, task: Task) -> float:
@@ -168,7 +168,7 @@
             task = self._held[name].task
             if task.is_service or task.phase is Phase.STARTING:
                 continue
-            job_class = name_class(task)
+            job_class = get_class_name(task)
             share = mix.get(job_class, 0.0) + self.get_share(task)
             mix[job_class] = share
         history = self._history[worker]
@@ -179,7 +179,7 @@
             history.popleft()
 
 
-def is_movable(task: Task) -> bool:
+def is_evictable(task: Task) -> bool:
     """Tells whether a task is a batch job that may be disturbed."""
     return (
         not task.is_service
--- a/lentilmount/batch/offline_renewal.py
+++ b/lentilmount/batch/offline_renewal.py
@@ -15,7 +15,7 @@
 TASK_LEASE = 'task_lease'
 
 
-def extend(
+def extend_offline_renewal(
     data: dict[str, Any], offline_renewal_seconds: float, lease_seconds: float
 ) -> dict[str, Any]:
     """Returns a lease's data with promises at least as long as given.
@@ -32,7 +32,7 @@
     }
 
 
-def settle(
+def reset_offline_renewal(
     data: dict[str, Any], offline_renewal_seconds: float, lease_seconds: float
 ) -> None:
     """Sets the promises to these, once no longer one can be kept."""
@@ -41,6 +41,6 @@
     data[TASK_LEASE] = lease_seconds
 
 
-def retire(data: dict[str, Any]) -> None:
+def withdraw_offline_renewal(data: dict[str, Any]) -> None:
     """Takes back an owner's own promise, once it renews nothing any more."""
     data[PROMISE] = data.get(INHERITED, data.get(PROMISE, 0.0))
--- a/lentilmount/batch/overruns.py
+++ b/lentilmount/batch/overruns.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lentilmount.batch.isolation import LEAST_SHARE
+from lentilmount.batch.isolation import MIN_SHARE
 from lentilmount.batch.learning import MARGIN
 from lentilmount.batch.records import Task
 from lentilmount.resources import Demand
@@ -41,11 +41,11 @@
 
     Attributes:
       share: Share of the processors to leave to the job.
-      move: Whether it is to be placed anew with more.
+      relocate: Whether it is to be placed anew with more.
     """
 
     share: float
-    move: bool
+    relocate: bool
 
 
 class OverrunDetector:
@@ -68,7 +68,7 @@
         """Drops what is remembered of a task that is over."""
         self._needs.pop(task.id, None)
 
-    def end(self, task: Task) -> None:
+    def forget_attempt(self, task: Task) -> None:
         """Drops what is remembered of an attempt that is over."""
         self._overruns.pop((task.id, task.attempt), None)
 
@@ -100,10 +100,12 @@
         if overrun.count < CONFIRMATIONS:
             return None
         patient = now - overrun.since < PATIENCE_SECONDS
-        move = over_memory or not patient
-        if move:
+        relocate = over_memory or not patient
+        if relocate:
             self._needs[task.id] = _grow(task.demand, overrun)
-        return OverrunAction(max(LEAST_SHARE, task.demand.cores / cores), move)
+        return OverrunAction(
+            max(MIN_SHARE, task.demand.cores / cores), relocate
+        )
 
 
 def _grow(demand: Demand, overrun: _Overrun) -> Demand:
--- a/lentilmount/batch/owner.py
+++ b/lentilmount/batch/owner.py
@@ -161,7 +161,7 @@
             self._options.sessions,
             self._monotonic,
             self.wake,
-            self.policy.judge_failure,
+            self.policy.handle_failure,
         )
         self.sessions[name] = session
         self._start(session.run())
@@ -187,7 +187,7 @@
                 self._add_link(name)
 
     def _is_stale(self, host: Host) -> bool:
-        if host.name in self.ledger.unread:
+        if host.name in self.ledger.unreadable:
             return False
         known = self.ledger.workers.get(host.name)
         return known is None or known != self._update_worker(host, None)
@@ -214,7 +214,7 @@
         with contextlib.suppress(UnavailableError):
             while rows := await self._read_inbox():
                 urgent = is_urgent(rows[0])
-                if self.ledger.is_paced and not urgent:
+                if self.ledger.is_write_limited and not urgent:
                     return
                 async with self.ledger.change(urgent=urgent) as draft:
                     for row in rows:
@@ -241,7 +241,7 @@
             request = read_request(row)
         except InvalidError as error:
             log.error('Request {} is set aside: {}.', row.key, error)
-            draft.set_aside(row, str(error))
+            draft.keep_unreadable(row, str(error))
             return
         draft.consumed.append(row)
         task = draft.get_task(request.task_id)
@@ -338,11 +338,11 @@
     async def _refuse_hopeless(self) -> None:
         publish_shapes(self.ledger.lease.data, self.ledger.workers.values())
         await self._shapes.refresh()
-        hopeless = self.policy.list_hopeless(self._shapes.list_shapes)
-        while hopeless:
+        infeasible = self.policy.list_infeasible(self._shapes.list_shapes)
+        while infeasible:
             async with self.ledger.change() as draft:
-                while hopeless and not draft.is_full:
-                    task_id, reason = hopeless.pop()
+                while infeasible and not draft.is_full:
+                    task_id, reason = infeasible.pop()
                     task = draft.get_task(task_id)
                     if task is not None and task.phase is Phase.PENDING:
                         draft.transition(task, Transition.REFUSE, reason=reason)
--- a/lentilmount/batch/ownership.py
+++ b/lentilmount/batch/ownership.py
@@ -101,7 +101,7 @@
         rank = candidates.index(name)
         return now - since >= rank * self._options.patience_seconds
 
-    def note_held(self, slice_name: str) -> None:
+    def record_held(self, slice_name: str) -> None:
         """Takes note that a slice is held by somebody."""
         self._free_since.pop(slice_name, None)
 
--- a/lentilmount/batch/placement.py
+++ b/lentilmount/batch/placement.py
@@ -122,7 +122,7 @@
         if old is None or _has_grown(old.free, free):
             self._grown[record.name] = free
 
-    def take_grown(self) -> list[Room]:
+    def pop_grown(self) -> list[Room]:
         """Returns what is free on workers that got more room, once.
 
         A demand that fitted nowhere need not be tried until it fits there.
--- a/lentilmount/batch/policy.py
+++ b/lentilmount/batch/policy.py
@@ -14,7 +14,7 @@
 import attrs
 
 from lentilmount.batch.budget import EvictionBudget
-from lentilmount.batch.drafts import Draft, Rows
+from lentilmount.batch.drafts import Draft, SliceRows
 from lentilmount.batch.fairness import FairShare
 from lentilmount.batch.interference_control import (
     InterferenceController,
@@ -28,7 +28,7 @@
 from lentilmount.batch.quarantine import Quarantine
 from lentilmount.batch.queue import SERVICES
 from lentilmount.batch.records import Task, WorkerRecord
-from lentilmount.batch.scheduler import Placed, Scheduler
+from lentilmount.batch.scheduler import PlacementResult, Scheduler
 from lentilmount.batch.states import COMMITTED_PHASES, Transition
 from lentilmount.configuration import Configuration
 from lentilmount.resources import FINAL_PHASES, Demand, Phase, Room
@@ -56,7 +56,7 @@
         return bool(self.evictions or self.records)
 
 
-class ObservedRows(Rows, Protocol):
+class ObservedRows(SliceRows, Protocol):
     """The rows of a slice, whose changes can be followed."""
 
     @property
@@ -112,7 +112,9 @@
             self.quarantine,
             self.steering.make_cost,
             self.note,
-            lambda task, name: self.steering.limit(task, name, monotonic()),
+            lambda task, name: self.steering.limit_cores(
+                task, name, monotonic()
+            ),
         )
         self._judge_at = 0.0
         self._inherited = [
@@ -127,15 +129,15 @@
     def note(self, task: Task) -> None:
         """Takes over a task's new state; once or more, it is the same."""
         now = self._monotonic()
-        seconds = self.occupancy.get_seconds(task.id, now)
+        seconds = self.occupancy.get_running_seconds(task.id, now)
         old = self.occupancy.update(task, now)
         if old is not None and old.attempt != task.attempt:
             self._end(old, task, 0.0)
             old = None
         if old is None and task.phase in COMMITTED_PHASES:
             if _is_job(task):
-                self.fair.take(task)
-                self.steering.begin(task, now)
+                self.fair.add_job(task)
+                self.steering.apply_initial_throttle(task, now)
             self.steering.invalidate(task.worker)
         elif old is not None and task.phase not in COMMITTED_PHASES:
             self._end(old, task, seconds)
@@ -148,17 +150,17 @@
     def _end(self, old: Task, task: Task, seconds: float) -> None:
         self.steering.invalidate(old.worker)
         self.steering.forget(old.id)
-        self.overruns.end(old)
+        self.overruns.forget_attempt(old)
         if not _is_job(old):
             return
-        self.fair.give_back(old)
+        self.fair.remove_job(old)
         if task.phase is Phase.COMPLETED:
             self.quarantine.record_success(old, old.worker)
             if seconds > 0:
-                self.sizes.finish(old, seconds)
+                self.sizes.record_completion(old, seconds)
         self.sizes.forget(old)
 
-    def judge_failure(self, task: Task, worker: str) -> bool:
+    def handle_failure(self, task: Task, worker: str) -> bool:
         """Takes in that an attempt failed; tells whether to give the job up."""
         self.quarantine.record_failure(task, worker)
         failed_on = (*task.failed_on, worker)
@@ -181,7 +183,7 @@
         no_worker = explain_refusal(demand, shapes)
         return no_worker or self.fair.explain_refusal(team, demand)
 
-    def list_hopeless(
+    def list_infeasible(
         self, list_shapes: Callable[[str], list[Room]]
     ) -> list[tuple[str, str]]:
         """Returns pending jobs that can never run, and why.
@@ -190,10 +192,10 @@
           list_shapes: Returns all shapes of worker in a zone, or nothing
             while some are not known.
         """
-        hopeless: list[tuple[str, str]] = []
+        infeasible: list[tuple[str, str]] = []
         now = self._monotonic()
         if now < self._judge_at:
-            return hopeless
+            return infeasible
         self._judge_at = now + JUDGE_SECONDS
         for group in self.scheduler.queue.list_groups():
             if group.tier == SERVICES:
@@ -202,8 +204,8 @@
             reason = self._explain(group.team, group.demand, shapes)
             if reason:
                 ids = self.scheduler.queue.list_tasks(group)
-                hopeless += [(task_id, reason) for task_id in ids]
-        return hopeless
+                infeasible += [(task_id, reason) for task_id in ids]
+        return infeasible
 
     def plan(self) -> Plan:
         """Takes in what was measured, throttles, and plans evictions."""
@@ -215,7 +217,7 @@
         plan = Plan()
         for session in self._sessions.values():
             if session.reachable:
-                plan.evictions += self.steering.read(session, now)
+                plan.evictions += self.steering.process_usage(session, now)
         self.steering.resend(self._sessions, now)
         plan.records = self.quarantine.review(self._ledger.workers, now)
         return plan
@@ -260,7 +262,7 @@
         """Whether something waits that does not give way to batch."""
         return self.scheduler.queue.has_urgent
 
-    def place(self, draft: Draft) -> Placed:
+    def place(self, draft: Draft) -> PlacementResult:
         """Places what is pending, as much as fits in one transaction."""
         reachable = [
             n for n, session in self._sessions.items() if session.reachable
--- a/lentilmount/batch/queue.py
+++ b/lentilmount/batch/queue.py
@@ -103,11 +103,11 @@
         """Whether services or urgent jobs wait."""
         return self._urgent > 0
 
-    def is_waiting(self, task: str) -> bool:
+    def is_pending(self, task: str) -> bool:
         """Tells whether a task is pending."""
         return task in self._where
 
-    def get_wait(self, task: str, now: float) -> float:
+    def get_pending_seconds(self, task: str, now: float) -> float:
         """Returns for how long a task has been pending here."""
         return now - self._since.get(task, now)
 
@@ -199,7 +199,7 @@
     )
 
 
-class Round:
+class QueuePass:
     """One pass over the queue.
 
     Args:
@@ -231,11 +231,11 @@
         accepted, task_id = head
         share = 0.0
         if group.tier == BATCH:
-            waited = max(0.0, self._wall - accepted)
-            share = self._get_share(group.team) - waited / AGE_SECONDS
+            pending_seconds = max(0.0, self._wall - accepted)
+            share = self._get_share(group.team) - pending_seconds / AGE_SECONDS
         return group.tier, share, accepted, task_id, group
 
-    def take(self) -> tuple[Group, str] | None:
+    def pop(self) -> tuple[Group, str] | None:
         """Returns the next group to try and its oldest task, or None."""
         while self._heap:
             rank = heapq.heappop(self._heap)
@@ -251,7 +251,7 @@
             return group, current[3]
         return None
 
-    def put_back(self, group: Group) -> None:
+    def requeue(self, group: Group) -> None:
         """Lets the rest of a group be tried, after one was placed."""
         head = self._queue.peek(group)
         if head is not None:
@@ -261,7 +261,7 @@
         """Leaves a group alone for now."""
         self._queue.block(group, demand, self._now)
 
-    def note_no_room(self, demand: Demand) -> None:
+    def record_unplaceable(self, demand: Demand) -> None:
         """Takes note that a demand fits nowhere, for want of room alone."""
         if len(self._too_large) < BLOCKED_KEPT:
             self._too_large.append(demand)
--- a/lentilmount/batch/records.py
+++ b/lentilmount/batch/records.py
@@ -165,7 +165,7 @@
     return f'inbox/{slice_name}'
 
 
-def make_aside_key(slice_name: str, order: str) -> Key:
+def make_unreadable_key(slice_name: str, order: str) -> Key:
     """Key of an inbox row that could not be read, kept for operators."""
     return Key(f'aside/{slice_name}', order)
 
--- a/lentilmount/batch/reports.py
+++ b/lentilmount/batch/reports.py
@@ -15,7 +15,7 @@
 AttemptKey = tuple[str, int]
 """A task's id and the number of an attempt."""
 
-JudgeFailure = Callable[[Task, str], bool]
+HandleFailure = Callable[[Task, str], bool]
 """Told of a failure on a worker, tells whether to give the job up."""
 
 _MOVES_BY_STATE = {
@@ -27,7 +27,7 @@
 }
 
 
-def is_news(task: Task, report: AttemptReport) -> bool:
+def requires_transition(task: Task, report: AttemptReport) -> bool:
     """Tells whether a report of a task's attempt calls for a move."""
     if report.state is not AttemptState.RUNNING:
         return True
@@ -39,7 +39,7 @@
     task_id: str,
     report: AttemptReport,
     worker: str,
-    judge_failure: JudgeFailure,
+    handle_failure: HandleFailure,
 ) -> None:
     """Makes the move that a report calls for, if it is of the current attempt.
 
@@ -59,7 +59,7 @@
     if move is Transition.STOPPED and task.phase not in STOPPING:
         move = Transition.LOST
     if move is Transition.FAIL:
-        hopeless = judge_failure(task, worker)
+        hopeless = handle_failure(task, worker)
         _apply_failure(draft, task, report, worker, hopeless)
         return
     evicted = move in (Transition.STOPPED, Transition.LOST)
--- a/lentilmount/batch/scheduler.py
+++ b/lentilmount/batch/scheduler.py
@@ -11,7 +11,7 @@
 from lentilmount.batch.drafts import Draft
 from lentilmount.batch.fairness import FairShare
 from lentilmount.batch.learning import SizeLearner
-from lentilmount.batch.occupancy import Occupancy, is_movable
+from lentilmount.batch.occupancy import Occupancy, is_evictable
 from lentilmount.batch.overruns import OverrunDetector
 from lentilmount.batch.placement import Cost, WorkerIndex
 from lentilmount.batch.preemption import (
@@ -20,7 +20,7 @@
     find_reservation,
 )
 from lentilmount.batch.quarantine import Quarantine
-from lentilmount.batch.queue import BATCH, Group, PendingQueue, Round
+from lentilmount.batch.queue import BATCH, Group, PendingQueue, QueuePass
 from lentilmount.batch.records import Task, WorkerRecord
 from lentilmount.batch.states import Transition
 from lentilmount.resources import Demand, Phase, Room
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Placed:
+class PlacementResult:
     """What one pass did.
 
     Attributes:
@@ -93,37 +93,37 @@
     ) -> None:
         """Takes over what changed of the workers."""
         self.index.synchronize(records, reachable)
-        for room in self.index.take_grown():
+        for room in self.index.pop_grown():
             self.queue.unblock(room)
         if now >= self._renew_at:
             self._renew_at = now + RENEW_SECONDS
             total = Room()
             for record in records.values():
                 total = total.add(record.capacity)
-            self._fair.renew(total)
+            self._fair.set_capacity(total)
 
-    def place(self, draft: Draft, now: float, wall: float) -> Placed:
+    def place(self, draft: Draft, now: float, wall: float) -> PlacementResult:
         """Places as many pending tasks as fit into one transaction."""
-        done = Placed()
+        done = PlacementResult()
         self._drop_reservations(now)
         failed = 0
-        work = Round(self.queue, self._fair.get_share, now, wall)
+        work = QueuePass(self.queue, self._fair.get_share, now, wall)
         while True:
             if draft.is_full:
                 done.more = True
                 return done
-            taken = work.take()
+            taken = work.pop()
             if taken is None or failed >= FAILED_TRIES:
                 return done
             group, task_id = taken
             task = draft.get_task(task_id)
             if task is None or task.phase is not Phase.PENDING:
                 self.queue.remove(task_id)
-                work.put_back(group)
+                work.requeue(group)
                 continue
             task = self._size(task)
             if self._try_place(draft, work, group, task, now, done):
-                work.put_back(group)
+                work.requeue(group)
             else:
                 work.block(group, task.demand)
                 failed += group.tier == BATCH
@@ -131,11 +131,11 @@
     def _try_place(
         self,
         draft: Draft,
-        work: Round,
+        work: QueuePass,
         group: Group,
         task: Task,
         now: float,
-        done: Placed,
+        done: PlacementResult,
     ) -> bool:
         if not task.is_service and not self._fair.allows(
             task.team, task.demand
@@ -143,8 +143,8 @@
             return False
         worker = None
         if not work.is_too_large(task.demand):
-            waited = self.queue.get_wait(task.id, now)
-            cost = self._make_cost(task, now, waited)
+            pending_seconds = self.queue.get_pending_seconds(task.id, now)
+            cost = self._make_cost(task, now, pending_seconds)
             cost = self._keep_off(task, cost, now)
             worker = self.index.choose(self._forgive(task), cost)
         if worker is not None:
@@ -208,7 +208,7 @@
 
     def _drop_reservations(self, now: float) -> None:
         for held in list(self.reservations.values()):
-            waiting = self.queue.is_waiting(held.task)
+            waiting = self.queue.is_pending(held.task)
             useful = held.worker in self.index and now <= held.until
             if not waiting or not useful:
                 del self.reservations[held.task]
@@ -216,11 +216,11 @@
     def _find_way(
         self,
         draft: Draft,
-        work: Round,
+        work: QueuePass,
         group: Group,
         task: Task,
         now: float,
-        done: Placed,
+        done: PlacementResult,
     ) -> None:
         held = self.reservations.get(task.id)
         if held is not None:
@@ -234,14 +234,14 @@
         has_room = self.index.choose(task) is not None
         if has_room or task.failed_on:
             return
-        work.note_no_room(task.demand)
-        waited = self.queue.get_wait(task.id, now)
+        work.record_unplaceable(task.demand)
+        pending_seconds = self.queue.get_pending_seconds(task.id, now)
         reserved = any(not r.urgent for r in self.reservations.values())
-        if waited >= RESERVE_AFTER_SECONDS and not reserved:
+        if pending_seconds >= RESERVE_AFTER_SECONDS and not reserved:
             self._reserve(task, now)
 
     def _preempt(
-        self, draft: Draft, task: Task, now: float, done: Placed
+        self, draft: Draft, task: Task, now: float, done: PlacementResult
     ) -> None:
         kept = {held.worker for held in self.reservations.values()}
         able = (
@@ -274,7 +274,7 @@
             task = draft.get_task(held.id)
             if task is None or task.attempt != held.attempt:
                 continue
-            if is_movable(task) or task.phase is Phase.EVICTING:
+            if is_evictable(task) or task.phase is Phase.EVICTING:
                 yield task
 
     def _price(self, victim: Task, now: float) -> float:
@@ -284,7 +284,7 @@
         time is not reported. A team over its fair share loses work first.
         """
         excess = 1 + EXCESS_WEIGHT * self._fair.get_share(victim.team)
-        lost = 1 + self._occupancy.get_seconds(victim.id, now)
+        lost = 1 + self._occupancy.get_running_seconds(victim.id, now)
         return lost * (1 + victim.evictions) / excess
 
     def _reserve(self, task: Task, now: float) -> None:
@@ -303,7 +303,7 @@
     def _get_end(self, task: Task, now: float) -> float:
         if task.is_service:
             return math.inf
-        ran = self._occupancy.get_seconds(task.id, now)
+        ran = self._occupancy.get_running_seconds(task.id, now)
         return now + max(1.0, self._sizes.get_seconds(task) - ran)
 
     def _list_probes(self, demand: Demand) -> Iterator[WorkerRecord]:
--- a/lentilmount/batch/worker_commands.py
+++ b/lentilmount/batch/worker_commands.py
@@ -72,7 +72,7 @@
         self.refused: set[AttemptKey] = set()
         self._lease = lease
         self._options = options
-        self._orders: dict[tuple[Action, str, int], Command] = {}
+        self._commands: dict[tuple[Action, str, int], Command] = {}
         # When each start was last sent, while it may still take effect.
         self._starts: dict[AttemptKey, float] = {}
         self._saved: dict[AttemptKey, float] = {}
@@ -80,9 +80,9 @@
     def add(self, command: Command) -> None:
         """Keeps a command until it is answered; see `WorkerSession.send`."""
         key = (command.action, command.task, command.attempt)
-        self._orders[key] = command
+        self._commands[key] = command
 
-    def take_answer(
+    def handle_answer(
         self, request: SyncRequest, answer: SyncAnswer, now: float
     ) -> None:
         """Takes in the worker's clock and the outcomes of commands."""
@@ -97,14 +97,14 @@
         if command.action is Action.START and outcome is Outcome.REFUSED:
             self.refused.add(attempt)
         order = (command.action, *attempt)
-        sent = self._orders.get(order)
+        sent = self._commands.get(order)
         if sent is not None and sent.share == command.share:
-            del self._orders[order]
+            del self._commands[order]
 
     @property
     def is_empty(self) -> bool:
         """Whether nothing but renewals is to be told."""
-        return not (self._orders or self.ending)
+        return not (self._commands or self.ending)
 
     def get_lease_end(self, now: float) -> float:
         """Returns when a renewed lease ends, on the worker's clock."""
@@ -129,7 +129,7 @@
         late = self._read_clock(now) + self._options.start_seconds
         commands += [
             attrs.evolve(order, not_after=order.not_after or late)
-            for order in self._orders.values()
+            for order in self._commands.values()
         ]
         return tuple(commands)
 
@@ -197,7 +197,7 @@
         renewed_at = self._lease.renewed_at
         key = (task.id, task.attempt)
         if (
-            self.is_early(now)
+            self.is_before_last_checkpoint(now)
             or task.is_service
             or self._saved.get(key) == renewed_at
         ):
@@ -205,7 +205,7 @@
         self._saved[key] = renewed_at
         return Action.CHECKPOINT
 
-    def is_early(self, now: float) -> bool:
+    def is_before_last_checkpoint(self, now: float) -> bool:
         """Tells whether the promise's end is too far off to save for it."""
         promise = self._options.offline_renewal_seconds * (
             1 - LAST_CHECKPOINT_SHARE
--- a/lentilmount/batch/worker_session.py
+++ b/lentilmount/batch/worker_session.py
@@ -18,14 +18,14 @@
 from lentilmount.batch.records import Task, WorkerRecord
 from lentilmount.batch.reports import (
     AttemptKey,
-    JudgeFailure,
+    HandleFailure,
     apply_report,
-    is_news,
+    requires_transition,
     update_worker,
 )
 from lentilmount.batch.states import COMMITTED_PHASES, STOPPING
 from lentilmount.batch.worker_commands import SessionOptions, WorkerCommands
-from lentilmount.batch.worker_state import WorkerView
+from lentilmount.batch.worker_state import WorkerState
 from lentilmount.coordination.leases import CLOCK_DRIFT
 from lentilmount.resources import Phase, Urgency
 from lentilmount.upstream.workers import (
@@ -63,7 +63,7 @@
         options: SessionOptions,
         monotonic: Callable[[], float],
         on_change: Callable[[], None],
-        judge_failure: JudgeFailure,
+        handle_failure: HandleFailure,
     ):
         self.name = name
         self.reachable = False
@@ -73,9 +73,9 @@
         self._options = options
         self._monotonic = monotonic
         self._on_change = on_change
-        self._judge_failure = judge_failure
-        self._orders = WorkerCommands(ledger.lease, options)
-        self._view = WorkerView(options.usage_seconds)
+        self._handle_failure = handle_failure
+        self._commands = WorkerCommands(ledger.lease, options)
+        self._view = WorkerState(options.usage_seconds)
         self._held: list[Task] = []
         self._held_at = -1
         self._wake = asyncio.Event()
@@ -105,7 +105,7 @@
 
         A newer command of the same kind for the same attempt replaces it.
         """
-        self._orders.add(command)
+        self._commands.add(command)
 
     async def run(self) -> None:
         """Keeps the link until cancelled.
@@ -134,7 +134,7 @@
         sent_at = self._monotonic()
         request = self._make_request(sent_at)
         if request.extends_leases:
-            own = self._orders.get_latest_expiry(sent_at)
+            own = self._commands.get_latest_expiry(sent_at)
             self._own_horizon = max(self._own_horizon, own)
         try:
             answer = await self._workers.sync(self.record.address, request)
@@ -144,7 +144,7 @@
             if self._monotonic() > horizon:
                 self._spawn(self._give_up())
             return
-        answer = self._view.complete(answer)
+        answer = self._view.add_omitted_attempts(answer)
         self._take_answer(request, answer)
         if request.renew_until and request.seen != answer.version:
             # The worker renewed nothing, as its attempts had changed.
@@ -154,7 +154,7 @@
         self._spawn(self._take_in(answer, sent_at))
 
     def _has_news(self, answer: SyncAnswer, now: float) -> bool:
-        self._checkpoints.learn(answer.attempts)
+        self._checkpoints.update(answer.attempts)
         due = self._checkpoints.list_due(self.list_held(), now)
         return bool(due) or self._has_changed(answer)
 
@@ -166,10 +166,10 @@
             self._is_fenced = True
             lease = self._ledger.task_lease_seconds
             self._others_horizon = now + lease * (1 + 2 * CLOCK_DRIFT)
-        self._orders.take_answer(request, answer, now)
+        self._commands.handle_answer(request, answer, now)
         if request.with_usage:
             self.usage = answer.usage
-            self._view.note_usage(now)
+            self._view.record_usage_read(now)
         if not self.reachable:
             self.reachable = True
             self.wake()
@@ -201,7 +201,7 @@
     def _make_request(self, now: float) -> SyncRequest:
         epoch = self._ledger.lease.epoch
         scope = self._ledger.slice_name
-        anchor = self._orders.clock_sample
+        anchor = self._commands.clock_sample
         # A worker that did not answer gets an empty call first: renewals that
         # it may or may not receive would put off for ever the time when its
         # tasks have surely lapsed and can be placed elsewhere.
@@ -210,14 +210,14 @@
         commands: tuple[Command, ...] = ()
         renew_until = 0.0
         if self._is_steady(now):
-            renew_until = self._orders.get_lease_end(now)
+            renew_until = self._commands.get_lease_end(now)
         else:
-            commands = self._orders.make_commands(self.list_held(), now)
+            commands = self._commands.make_commands(self.list_held(), now)
         return self._view.make_request(scope, epoch, commands, renew_until, now)
 
     def _is_steady(self, now: float) -> bool:
-        orders = self._orders
-        if not orders.is_empty or not orders.is_early(now):
+        orders = self._commands
+        if not orders.is_empty or not orders.is_before_last_checkpoint(now):
             return False
         if self._is_taking_in():
             return False
@@ -242,7 +242,7 @@
 
     async def _take_in(self, answer: SyncAnswer, sent_at: float) -> None:
         reports = {(r.task, r.attempt): r for r in answer.attempts}
-        self._checkpoints.learn(answer.attempts)
+        self._checkpoints.update(answer.attempts)
         moves = self._find_transitions(answer, reports, sent_at)
         due = self._checkpoints.list_due(self.list_held(), sent_at)
         if moves or due or self._has_changed(answer):
@@ -271,7 +271,7 @@
             known = self._checkpoints.get((task_id, report.attempt))
             checkpoint = report.checkpoint or known
             whole = attrs.evolve(report, checkpoint=checkpoint)
-            apply_report(draft, task_id, whole, self.name, self._judge_failure)
+            apply_report(draft, task_id, whole, self.name, self._handle_failure)
 
     def _has_changed(self, answer: SyncAnswer) -> bool:
         record = self.record
@@ -289,7 +289,7 @@
             report = reports.get((task.id, task.attempt))
             if report is None:
                 report = self._explain_absence(task, answer, sent_at)
-            if report and is_news(task, report):
+            if report and requires_transition(task, report):
                 moves.append((task.id, report))
         return moves
 
@@ -305,13 +305,13 @@
         gone = (
             task.boot != answer.boot
             or task.phase is Phase.RUNNING
-            or key in self._orders.ending
+            or key in self._commands.ending
         )
         if gone:
             return AttemptReport(*key, AttemptState.LAPSED)
-        if self._orders.may_still_start(key, sent_at):
+        if self._commands.may_still_start(key, sent_at):
             return None
-        if key in self._orders.refused:
+        if key in self._commands.refused:
             message = 'the worker refused to start it'
             return AttemptReport(*key, AttemptState.FAILED, message=message)
         if task.phase in STOPPING:
@@ -326,26 +326,26 @@
             current = task is not None and task.attempt == key[1]
             if current and task is not None and task.phase in COMMITTED_PHASES:
                 continue
-            if key[0] in self._ledger.unread:
+            if key[0] in self._ledger.unreadable:
                 continue
             if report.state is AttemptState.RUNNING:
                 self.send(Command(Action.STOP, *key))
             # Once forgotten, an attempt would be begun again by a copy of
             # its start that was delayed on the way.
-            elif not self._orders.may_still_start(key, sent_at):
+            elif not self._commands.may_still_start(key, sent_at):
                 self.send(Command(Action.FORGET, *key))
 
     def _clean_up(self, reports: dict[AttemptKey, AttemptReport]) -> None:
         held = {(task.id, task.attempt) for task in self.list_held()}
         known = held | set(reports)
-        self._orders.forget(held, known)
-        self._checkpoints.keep(known)
+        self._commands.forget(held, known)
+        self._checkpoints.discard_others(known)
 
     async def _give_up(self) -> None:
         held = self.list_held()
         if not held:
             return
-        self._orders.ending.update((task.id, task.attempt) for task in held)
+        self._commands.ending.update((task.id, task.attempt) for task in held)
         async with self._ledger.change() as draft:
             for task in held:
                 if draft.is_full:
@@ -358,6 +358,6 @@
                     message='the worker is not reachable',
                 )
                 apply_report(
-                    draft, task.id, report, self.name, self._judge_failure
+                    draft, task.id, report, self.name, self._handle_failure
                 )
         self._on_change()
--- a/lentilmount/batch/worker_state.py
+++ b/lentilmount/batch/worker_state.py
@@ -17,7 +17,7 @@
 )
 
 
-class WorkerView:
+class WorkerState:
     """A worker's attempts and measurements, as of its last answers.
 
     A worker leaves out of its answer what has not changed, and renews all of
@@ -38,7 +38,7 @@
         self._usage_version = 0
         self._steady: tuple[int, int, str] | None = None
 
-    def complete(self, answer: SyncAnswer) -> SyncAnswer:
+    def add_omitted_attempts(self, answer: SyncAnswer) -> SyncAnswer:
         """Returns an answer with the attempts that it left out."""
         seen = (self._boot, self._version, self._saves)
         if seen == (answer.boot, answer.version, answer.saves):
@@ -49,7 +49,7 @@
         self._reports = answer.attempts
         return answer
 
-    def note_usage(self, now: float) -> None:
+    def record_usage_read(self, now: float) -> None:
         """Takes note that measurements were read."""
         self._usage_at = now
         self._usage_version = self._version
--- a/lentilmount/batch/write_limiter.py
+++ b/lentilmount/batch/write_limiter.py
@@ -28,18 +28,18 @@
         self._burst = burst
         self._monotonic = monotonic
         self._rows = burst
-        self._at = monotonic()
+        self._refilled_at = monotonic()
         self._turn = asyncio.Lock()
 
     def spend(self, rows: int) -> None:
         """Counts rows that were written."""
-        self._fill()
+        self._refill()
         self._rows -= rows
 
     @property
     def is_open(self) -> bool:
         """Whether something that is not urgent may be written now."""
-        self._fill()
+        self._refill()
         return self._rows >= 0
 
     async def wait(self) -> None:
@@ -48,8 +48,8 @@
             while not self.is_open:
                 await asyncio.sleep(max(0.01, -self._rows / self._rate))
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._monotonic()
-        grown = self._rows + (now - self._at) * self._rate
+        grown = self._rows + (now - self._refilled_at) * self._rate
         self._rows = min(self._burst, grown)
-        self._at = now
+        self._refilled_at = now
--- a/tests/test_interference_control.py
+++ b/tests/test_interference_control.py
@@ -52,7 +52,7 @@
     )
     occupancy.update(SERVICE, 0.0)
     usage = Usage(SERVICE.id, 1, age=1.0, p99_ms=p99_ms, load=load)
-    steering.read(FakeLink(usage=(usage,)), 100.0)
+    steering.process_usage(FakeLink(usage=(usage,)), 100.0)
     for number in range(MANY):
         job = make_job(number)
         if steering.make_cost(job, 100.0)(RECORD) == float('inf'):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -374,7 +374,7 @@
         for _ in range(3):
             usage = Usage(one.id, 1, 0.0, cores=0.5, memory_mb=1000)
             learner.observe(one, usage, 0.5)
-        learner.finish(one, 30.0)
+        learner.record_completion(one, 30.0)
     learned = learner.get_demand(job, job.demand)
     assert learned == Demand(1.15, 1150)
     assert learner.get_seconds(job) == 30.0
@@ -386,6 +386,6 @@
     usage = Usage(job.id, 1, 0.0, cores=8.0, memory_mb=1000)
     verdicts = [watch.evaluate(job, usage, 1.0, now) for now in (0, 1, 2, 70)]
     assert verdicts[:2] == [None, None]
-    assert verdicts[2] and verdicts[2].share == 0.5 and not verdicts[2].move
-    assert verdicts[3] and verdicts[3].move
+    assert verdicts[2] and verdicts[2].share == 0.5 and not verdicts[2].relocate
+    assert verdicts[3] and verdicts[3].relocate
     assert watch.get_need(job) == Demand(9.2, 4000)
