--- a/lentilmount/batch/budget.py
+++ b/lentilmount/batch/budget.py
@@ -1,20 +1,24 @@
-"""How many evictions a slice may spend."""
+"""Limits the rate of evictions in a slice."""
 
 from __future__ import annotations
 
 BURST_HOURS = 1 / 12
-"""Unspent evictions are kept for five minutes' worth at most."""
+"""Capacity of the token bucket, as hours of its rate: five minutes."""
 
 
 class EvictionBudget:
     """A token bucket of evictions.
 
-    It begins empty: a slice that changes hands often would otherwise spend a
-    full bucket with each owner. So over any time `t` at most `burst + rate * t`
-    evictions are spent, whoever owns the slice.
+    It begins empty, since otherwise each new owner of a slice could spend a
+    full bucket. So over any time `t` at most `burst + rate * t` evictions are
+    spent, whoever owns the slice.
+
+    Args:
+      per_hour: Evictions allowed per hour.
+      now: Monotonic time.
 
     Attributes:
-      forced: Evictions that were spent without a token, for urgent work.
+      forced: Number of evictions forced without a token, for urgent tasks.
     """
 
     def __init__(self, per_hour: float, now: float):
@@ -25,11 +29,11 @@
 
     @property
     def burst(self) -> float:
-        """Most evictions at one moment."""
+        """Capacity of the bucket."""
         return max(1.0, self._per_hour * BURST_HOURS)
 
     def set_rate(self, per_hour: float, now: float) -> None:
-        """Changes the evictions that an hour allows."""
+        """Changes the evictions allowed per hour."""
         self._refill(now)
         self._per_hour = per_hour
         self._tokens = min(self._tokens, self.burst)
@@ -40,7 +44,7 @@
         self._refilled_at = max(now, self._refilled_at)
 
     def try_spend(self, now: float) -> bool:
-        """Spends one eviction if the budget allows it."""
+        """Spends one eviction; returns whether the budget allowed it."""
         self._refill(now)
         if self._per_hour <= 0 or self._tokens < 1 - 1e-9:
             return False
@@ -48,9 +52,9 @@
         return True
 
     def force_spend(self, now: float) -> None:
-        """Spends one eviction for urgent work, which does not wait.
+        """Spends one eviction for an urgent task, even without a token.
 
-        It takes what tokens there are, so it leaves fewer for the rest.
+        It uses up available tokens, so fewer are left for other evictions.
         """
         self._refill(now)
         if self._tokens < 1:
--- a/lentilmount/batch/fairness.py
+++ b/lentilmount/batch/fairness.py
@@ -1,4 +1,4 @@
-"""How much of the workers each team's jobs hold, and may hold."""
+"""Tracks the resources committed to each team's jobs, and its fair share."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from lentilmount.resources import Demand, Room, TeamSpec
 
 AGE_SECONDS = 3600.0
-"""A job that waited this long counts as much as a whole dominant share."""
+"""Pending time that offsets a dominant share of 1 in the queue order."""
 
 
 class FairShare:
     """Weighted dominant-resource fair share under quotas.
 
-    A quota holds over all slices, whose owners do not ask each other: each
-    may hand out an equal part of it, so that the sum never exceeds it.
+    A quota applies to all slices together, whose owners do not coordinate:
+    each may commit an equal part of it, so that the sum never exceeds it.
 
     Source: Ghodsi et al., "Dominant Resource Fairness", 2011.
 
     Args:
-      get_team: Looks a team's quota and weight up.
-      parts: Slices among which a quota is divided.
+      get_team: Returns a team's quota and weight.
+      parts: Number of slices among which a quota is divided.
     """
 
     def __init__(self, get_team: Callable[[str], TeamSpec], parts: int):
@@ -29,25 +29,29 @@
         self._shares: dict[str, float] = {}
         self._get_team = get_team
         self._parts = parts
-        self._held: dict[str, Room] = {}
+        self._committed: dict[str, Room] = {}
 
     def set_capacity(self, capacity: Room) -> None:
-        """Takes over what the workers have, and any new quota or weight."""
+        """Sets the total capacity and recomputes the shares when next used."""
         self._capacity = capacity
         self._shares.clear()
 
-    def get_held(self, team: str) -> Room:
-        """Returns what a team's jobs hold in this slice."""
-        return self._held.get(team, Room())
+    def get_committed(self, team: str) -> Room:
+        """Returns the resources committed to a team's jobs in this slice."""
+        return self._committed.get(team, Room())
 
     def add_job(self, task: Task) -> None:
-        """Counts a job that was committed to a worker."""
-        self._held[task.team] = self.get_held(task.team).add(task.demand)
+        """Adds the commitment of a job."""
+        self._committed[task.team] = self.get_committed(task.team).add(
+            task.demand
+        )
         self._shares.pop(task.team, None)
 
     def remove_job(self, task: Task) -> None:
-        """Counts a job whose commitment ended."""
-        self._held[task.team] = self.get_held(task.team).subtract(task.demand)
+        """Removes the commitment of a job."""
+        self._committed[task.team] = self.get_committed(task.team).subtract(
+            task.demand
+        )
         self._shares.pop(task.team, None)
 
     def get_share(self, team: str) -> float:
@@ -58,16 +62,16 @@
         return share
 
     def _find_share(self, team: str) -> float:
-        held = self.get_held(team)
+        committed = self.get_committed(team)
         total = self._capacity
         shares = (
-            held.cores / max(total.cores, 1e-9),
-            held.memory_mb / max(total.memory_mb, 1),
-            held.accelerators / max(total.accelerators, 1),
+            committed.cores / max(total.cores, 1e-9),
+            committed.memory_mb / max(total.memory_mb, 1),
+            committed.accelerators / max(total.accelerators, 1),
         )
         return max(shares) / self._get_team(team).weight
 
-    def get_part(self, team: str) -> Room:
+    def get_quota_part(self, team: str) -> Room:
         """Returns this slice's part of a team's quota."""
         quota = self._get_team(team).quota
         return Room(
@@ -77,13 +81,13 @@
         )
 
     def allows(self, team: str, demand: Demand) -> bool:
-        """Tells whether the quota leaves room for one more job."""
-        free = self.get_part(team).subtract(self.get_held(team))
+        """Returns whether this slice's part of the quota allows a demand."""
+        free = self.get_quota_part(team).subtract(self.get_committed(team))
         return demand.fits(free)
 
     def explain_refusal(self, team: str, demand: Demand) -> str | None:
-        """Says why a team may never hold a demand, or returns None."""
-        part = self.get_part(team)
+        """Returns why a team's quota can never allow a demand, or None."""
+        part = self.get_quota_part(team)
         if demand.fits(part):
             return None
         return (
--- a/lentilmount/batch/placement.py
+++ b/lentilmount/batch/placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task goes to: an index of what is free."""
+"""Chooses a worker for each task, from an index of free resources."""
 
 from __future__ import annotations
 
@@ -14,67 +14,70 @@
 from lentilmount.resources import Demand, Room
 
 CLASSES_PER_OCTAVE = 4
-"""Classes of free memory for each doubling."""
+"""Number of size classes for each doubling of free memory."""
 
 SCORE_BOUND = 2 ** (1 / CLASSES_PER_OCTAVE)
-"""A choice scores at most this many times the best fitting worker's score.
+"""Upper bound on a chosen worker's score over the best fitting one's.
 
-Within a class free memory differs by less than this factor, accelerators not
-at all, and the first that fits has the fewest free processors.
+Within a class free memory differs by less than this factor and free
+accelerators are equal, and the first fitting worker has the fewest free cores.
 """
 
-PROBES = 8
-"""Fitting workers of one class that are compared where cost matters."""
+CANDIDATES_PER_CLASS = 8
+"""Fitting workers compared in each class when a cost function is given."""
 
-ENOUGH_WORKERS = 32
-"""Workers that a task may go to, after which no more are looked for."""
+ENOUGH_CANDIDATES = 32
+"""Number of acceptable workers after which the search ends."""
 
-MOST_WORKERS = 48
-"""Workers that are asked for their cost for one task; bounds its time."""
+MAX_PRICED_WORKERS = 48
+"""Maximum number of workers priced for one task; bounds the search time."""
 
-MEMORY_A_CORE = 4096
-CORES_AN_ACCELERATOR = 64
-"""High, so that jobs without need of them go elsewhere while they can."""
+MEMORY_MB_PER_CORE = 4096
+CORES_PER_ACCELERATOR = 64
+"""High, so that jobs that need no accelerator avoid workers that have some."""
 
 Cost = Callable[[WorkerRecord], float]
-"""What a worker costs beside its free room, in cores; infinite to refuse."""
+"""Cost of a worker in addition to its free resources, in cores.
 
-_Class = tuple[int, int]
+Infinite if the task must not be placed there.
+"""
+
+_SizeClass = tuple[int, int]
 
 
 def measure_room(room: Room) -> float:
-    """Returns one size for an amount, in cores."""
+    """Returns the size of an amount of resources as one number, in cores."""
     return (
         room.cores
-        + room.memory_mb / MEMORY_A_CORE
-        + CORES_AN_ACCELERATOR * room.accelerators
+        + room.memory_mb / MEMORY_MB_PER_CORE
+        + CORES_PER_ACCELERATOR * room.accelerators
     )
 
 
 @attrs.frozen
 class _Entry:
-    """An open worker as the index holds it."""
+    """The index entry of an open worker."""
 
     record: WorkerRecord
     free: Room
     services: tuple[str, ...]
-    place: _Class
+    size_class: _SizeClass
 
 
 class WorkerIndex:
-    """Workers that may get new work, by what they have free.
+    """Index of the workers that accept new tasks, by free resources.
 
-    Workers are in classes of equal free accelerators and nearly equal free
-    memory, and in each class in the order of free processors. A search looks
-    into each class by bisection; the number of classes depends on the shapes
-    of the workers and not on how many there are.
+    Workers are grouped into classes of equal free accelerators and nearly
+    equal free memory, and sorted by free cores in each class. A search
+    bisects each class; the number of classes depends on the shapes of the
+    workers and not on their number.
     """
 
     def __init__(self) -> None:
         self._grown: dict[str, Room] = {}
         self._seen: dict[str, WorkerRecord] = {}
         self._entries: dict[str, _Entry] = {}
-        self._classes: dict[_Class, list[tuple[float, str]]] = {}
+        self._classes: dict[_SizeClass, list[tuple[float, str]]] = {}
         self._racks: dict[str, collections.Counter[str]] = {}
         self._order: list[str] = []
         self._cursor = 0
@@ -88,19 +91,24 @@
     def synchronize(
         self, records: Mapping[str, WorkerRecord], reachable: Iterable[str]
     ) -> None:
-        """Takes over every record that changed since the last time."""
-        able = dict.fromkeys(reachable)
-        for name in [n for n in self._seen if n not in able]:
+        """Updates the entries of all records changed since the last call.
+
+        Args:
+          records: All worker records by name.
+          reachable: Names of the reachable workers; others are removed.
+        """
+        current = dict.fromkeys(reachable)
+        for name in [n for n in self._seen if n not in current]:
             self.remove(name)
-        for name in able:
+        for name in current:
             record = records.get(name)
             if record is not None and self._seen.get(name) is not record:
                 self.update(record)
 
     def update(self, record: WorkerRecord) -> None:
-        """Takes over a worker's record."""
+        """Updates the entry of one worker."""
         old = self._entries.get(record.name)
-        self._take_out(record.name)
+        self._remove_entry(record.name)
         self._seen[record.name] = record
         if not record.is_open:
             return
@@ -110,11 +118,11 @@
             for name in record.commitments
             if name.startswith('Service/')
         )
-        place = (free.accelerators, _classify(free.memory_mb))
-        entry = _Entry(record, free, services, place)
+        size_class = (free.accelerators, _classify(free.memory_mb))
+        entry = _Entry(record, free, services, size_class)
         self._entries[record.name] = entry
         bisect.insort(
-            self._classes.setdefault(place, []), (free.cores, record.name)
+            self._classes.setdefault(size_class, []), (free.cores, record.name)
         )
         for service in services:
             racks = self._racks.setdefault(service, collections.Counter())
@@ -123,26 +131,27 @@
             self._grown[record.name] = free
 
     def pop_grown(self) -> list[Room]:
-        """Returns what is free on workers that got more room, once.
+        """Returns the free resources of workers that gained some, and resets.
 
-        A demand that fitted nowhere need not be tried until it fits there.
+        A demand that fitted nowhere need not be retried until it fits one of
+        these.
         """
         grown, self._grown = self._grown, {}
         return list(grown.values())
 
     def remove(self, name: str) -> None:
-        """Takes a worker out."""
-        self._take_out(name)
+        """Removes a worker."""
+        self._remove_entry(name)
         self._seen.pop(name, None)
 
-    def _take_out(self, name: str) -> None:
+    def _remove_entry(self, name: str) -> None:
         entry = self._entries.pop(name, None)
         if entry is None:
             return
-        members = self._classes[entry.place]
+        members = self._classes[entry.size_class]
         del members[bisect.bisect_left(members, (entry.free.cores, name))]
         if not members:
-            del self._classes[entry.place]
+            del self._classes[entry.size_class]
         for service in entry.services:
             racks = self._racks[service]
             racks[entry.record.rack] -= 1
@@ -150,15 +159,15 @@
                 del self._racks[service]
 
     def get_free(self, name: str) -> Room:
-        """Returns what an open worker has free; nothing for another."""
+        """Returns the free resources of an open worker, none for another."""
         entry = self._entries.get(name)
         return entry.free if entry else Room()
 
     def rotate(self, demand: Demand) -> Iterator[WorkerRecord]:
         """Yields the open workers that could hold a demand if empty.
 
-        Each call begins where the last one ended, so that who looks at some
-        of them only comes to look at all of them in time.
+        Each call resumes where the last one ended, so that a caller that
+        examines only a few of them per call covers all of them over time.
         """
         if len(self._order) != len(self._entries):
             self._order = sorted(self._entries)
@@ -176,20 +185,25 @@
     def choose(
         self, task: Task, cost: Cost | None = None
     ) -> WorkerRecord | None:
-        """Returns the worker for a task, or None.
+        """Returns the worker to place a task on, or None.
 
-        A job goes where the least room is left, which keeps large rooms and
-        accelerators for those who need them. A service spreads out: to a
-        worker without siblings, then to the rack with the fewest.
+        A job goes to the best fitting worker, which keeps large blocks of
+        free resources and accelerators for the tasks that need them. The
+        replicas of a service are spread: to a worker that runs no other
+        replica, then to the rack that runs the fewest.
+
+        Args:
+          task: The task.
+          cost: Cost of each worker in addition to its free resources.
         """
         if task.is_service:
             return self._choose_spread(task, cost)
         if cost is None:
-            return self._choose_least(task)
+            return self._choose_best_fit(task)
         best: tuple[float, str] | None = None
         accepted = 0
-        for asked, entry in enumerate(self._probe_all(task)):
-            if asked >= MOST_WORKERS or accepted >= ENOUGH_WORKERS:
+        for priced, entry in enumerate(self._find_all_fitting(task)):
+            if priced >= MAX_PRICED_WORKERS or accepted >= ENOUGH_CANDIDATES:
                 break
             extra = cost(entry.record)
             if math.isinf(extra):
@@ -200,43 +214,52 @@
                 best = score
         return self._entries[best[1]].record if best else None
 
-    def _choose_least(self, task: Task) -> WorkerRecord | None:
+    def _choose_best_fit(self, task: Task) -> WorkerRecord | None:
         best: tuple[float, str] | None = None
         for members in self._list_classes(task.demand):
-            for entry in self._probe(task, members, 1):
+            for entry in self._find_fitting(task, members, 1):
                 score = (measure_room(entry.free), entry.record.name)
                 if best is None or score < best:
                     best = score
         return self._entries[best[1]].record if best else None
 
-    def _probe_all(self, task: Task, spread: bool = False) -> Iterator[_Entry]:
-        """Yields fitting workers, some of each class, then all the others."""
+    def _find_all_fitting(
+        self, task: Task, spread: bool = False
+    ) -> Iterator[_Entry]:
+        """Yields fitting workers: a few of each class, then the others."""
         classes = list(self._list_classes(task.demand))
         if spread:
             classes.reverse()
         seen = set()
         for members in classes:
-            for entry in self._probe(task, members, PROBES, spread):
+            for entry in self._find_fitting(
+                task, members, CANDIDATES_PER_CLASS, spread
+            ):
                 seen.add(entry.record.name)
                 yield entry
         for members in classes:
-            for entry in self._probe(task, members, len(members), spread):
+            for entry in self._find_fitting(
+                task, members, len(members), spread
+            ):
                 if entry.record.name not in seen:
                     yield entry
 
     def _list_classes(
         self, demand: Demand
     ) -> Iterator[list[tuple[float, str]]]:
-        least = _classify(demand.memory_mb)
-        for place in sorted(self._classes):
-            if place[0] >= demand.accelerators and place[1] >= least:
-                yield self._classes[place]
-
-    def _probe(
+        min_memory_class = _classify(demand.memory_mb)
+        for size_class in sorted(self._classes):
+            if (
+                size_class[0] >= demand.accelerators
+                and size_class[1] >= min_memory_class
+            ):
+                yield self._classes[size_class]
+
+    def _find_fitting(
         self,
         task: Task,
         members: list[tuple[float, str]],
-        probes: int,
+        count_limit: int,
         spread: bool = False,
     ) -> Iterator[_Entry]:
         start = bisect.bisect_left(members, (task.demand.cores - 1e-9, ''))
@@ -250,7 +273,7 @@
                 continue
             yield entry
             found += 1
-            if found >= probes:
+            if found >= count_limit:
                 return
 
     def _choose_spread(
@@ -258,8 +281,8 @@
     ) -> WorkerRecord | None:
         racks = self._racks.get(task.resource, collections.Counter())
         best: tuple[int, int, float, str] | None = None
-        probed = self._probe_all(task, spread=True)
-        for entry in itertools.islice(probed, ENOUGH_WORKERS):
+        fitting = self._find_all_fitting(task, spread=True)
+        for entry in itertools.islice(fitting, ENOUGH_CANDIDATES):
             extra = cost(entry.record) if cost else 0.0
             rank = (
                 entry.services.count(task.resource),
@@ -285,11 +308,11 @@
 
 
 def explain_refusal(demand: Demand, shapes: Iterable[Room]) -> str | None:
-    """Says why no worker could ever hold a demand, or returns None.
+    """Returns why no worker could ever hold a demand, or None.
 
     Args:
-      demand: What is asked.
-      shapes: What workers have in all; no shape is no knowledge.
+      demand: The resources asked for.
+      shapes: Total capacities of the workers; empty if they are unknown.
     """
     known = list(shapes)
     if not known or any(demand.fits(shape) for shape in known):
@@ -305,7 +328,7 @@
 
 
 def _measure_excess(demand: Demand, shape: Room) -> float:
-    """Returns by which share of the demand it is too large for a shape."""
+    """Returns the share of the demand that exceeds a shape, summed."""
     return (
         max(0.0, 1 - shape.cores / demand.cores)
         + max(0.0, 1 - shape.memory_mb / demand.memory_mb)
--- a/lentilmount/batch/preemption.py
+++ b/lentilmount/batch/preemption.py
@@ -1,4 +1,4 @@
-"""Making room: which jobs to evict, and which worker to keep free."""
+"""Selects jobs to preempt, and workers to reserve for large tasks."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from lentilmount.batch.records import Task, WorkerRecord
 from lentilmount.resources import Demand, Phase, Room
 
-PROBES = 64
-"""Workers that are looked at for one task; bounds the time of a decision."""
+MAX_EXAMINED_WORKERS = 64
+"""Maximum number of workers examined for one task; bounds the decision time."""
 
 
 @attrs.frozen
 class Eviction:
-    """Jobs to evict from one worker to make room."""
+    """Jobs to evict from one worker to free resources on it."""
 
     worker: str
     victims: tuple[Task, ...]
@@ -25,16 +25,16 @@
 
 @attrs.frozen
 class Reservation:
-    """A worker kept for a task that waits for room.
+    """A worker reserved for a pending task.
 
     Attributes:
-      task: Id of the task that waits.
-      worker: The worker kept for it.
-      ready: Monotonic time when there should be room; what surely ends
-        earlier may use the worker until then.
-      until: Monotonic time when the reservation lapses.
-      urgent: Whether jobs were evicted for it, so that nobody else, urgent or
-        not, may take the room.
+      task: Id of the pending task.
+      worker: Name of the reserved worker.
+      ready: Monotonic time when the task is expected to fit; jobs expected to
+        end earlier may still be placed on the worker (backfill).
+      until: Monotonic time when the reservation expires.
+      urgent: Whether jobs were evicted for the task, so that no other task,
+        urgent or not, may use the freed resources.
     """
 
     task: str
@@ -49,13 +49,19 @@
     workers: Iterable[tuple[WorkerRecord, Iterable[Task]]],
     cost: Callable[[Task], float],
 ) -> Eviction | None:
-    """Returns the cheapest eviction that makes room for a demand, or None."""
+    """Returns the cheapest eviction after which a demand fits, or None.
+
+    Args:
+      demand: The resources needed.
+      workers: Open workers with the jobs on them that may be evicted.
+      cost: Returns the cost of evicting a job.
+    """
     best: Eviction | None = None
     lowest = math.inf
-    for record, tasks in itertools.islice(workers, PROBES):
+    for record, tasks in itertools.islice(workers, MAX_EXAMINED_WORKERS):
         if not demand.fits(record.capacity):
             continue
-        victims = _pick(demand, record.free, tasks, cost)
+        victims = _pick_victims(demand, record.free, tasks, cost)
         if victims is None:
             continue
         total = sum(map(cost, victims))
@@ -65,33 +71,33 @@
     return best
 
 
-def _pick(
+def _pick_victims(
     demand: Demand,
     free: Room,
     tasks: Iterable[Task],
     cost: Callable[[Task], float],
 ) -> list[Task] | None:
-    coming = free
-    able = []
+    available = free
+    candidates = []
     for task in tasks:
         if task.phase is Phase.EVICTING or task.phase is Phase.CANCELLING:
-            coming = coming.add(task.demand)
+            available = available.add(task.demand)
         elif task.phase in (Phase.RUNNING, Phase.STARTING):
-            able.append(task)
+            candidates.append(task)
     picked: list[Task] = []
-    for task in sorted(able, key=cost):
-        if demand.fits(coming):
+    for task in sorted(candidates, key=cost):
+        if demand.fits(available):
             break
         picked.append(task)
-        coming = coming.add(task.demand)
-    if not demand.fits(coming):
+        available = available.add(task.demand)
+    if not demand.fits(available):
         return None
-    # A cheap one taken early may not be needed beside a large one.
+    # Jobs picked early may be superfluous after a larger one was picked.
     for task in sorted(picked, key=cost, reverse=True):
-        without = coming.subtract(task.demand)
+        without = available.subtract(task.demand)
         if demand.fits(without):
             picked.remove(task)
-            coming = without
+            available = without
     return picked
 
 
@@ -100,26 +106,26 @@
     workers: Iterable[tuple[WorkerRecord, Iterable[Task]]],
     get_end: Callable[[Task], float],
 ) -> tuple[str, float] | None:
-    """Returns the worker with room for a task first, and when.
+    """Returns the worker on which a task will fit first, and the time.
 
     Source: Lifka, "The ANL/IBM SP Scheduling System", 1995 (EASY backfill).
 
     Args:
-      task: The task that waits.
-      workers: Open workers and what runs on them.
-      get_end: When a task should end.
+      task: The pending task.
+      workers: Open workers with the tasks on them.
+      get_end: Returns the monotonic time when a task is expected to end.
     """
     best: tuple[float, str] | None = None
-    for record, held in itertools.islice(workers, PROBES):
+    for record, current in itertools.islice(workers, MAX_EXAMINED_WORKERS):
         if not task.demand.fits(record.capacity):
             continue
-        ready = _find_time(task.demand, record.free, held, get_end)
+        ready = _find_ready_time(task.demand, record.free, current, get_end)
         if ready is not None and (best is None or ready < best[0]):
             best = (ready, record.name)
     return (best[1], best[0]) if best else None
 
 
-def _find_time(
+def _find_ready_time(
     demand: Demand,
     free: Room,
     tasks: Iterable[Task],
--- a/lentilmount/batch/scheduler.py
+++ b/lentilmount/batch/scheduler.py
@@ -1,4 +1,8 @@
-"""Placing what is pending: order, room, shares, reservations, preemption."""
+"""Places the pending tasks of a slice.
+
+Applies queue order, quotas and fair shares, reservations for large jobs, and
+preemption for urgent tasks.
+"""
 
 from __future__ import annotations
 
@@ -26,29 +30,34 @@
 from lentilmount.resources import Demand, Phase, Room
 
 RESERVE_AFTER_SECONDS = 120.0
-"""How long a batch job waits before a worker is kept free for it."""
+"""Time that a batch job waits before a worker is reserved for it."""
+
+RESERVATION_SECONDS = 600.0
+"""Time that a reservation outlasts the expected end of the blocking jobs."""
 
-RESERVED_SECONDS = 600.0
-PREEMPTED_SECONDS = 20.0
-"""How long freed room is kept for the urgent task that it was freed for."""
+PREEMPTION_RESERVATION_SECONDS = 20.0
+"""Time that freed resources are reserved for the task that preempted."""
 
-RENEW_SECONDS = 1.0
-"""How old the capacity and the teams' weights in the fair share may be."""
+REFRESH_SECONDS = 1.0
+"""Maximum age of the capacity and team weights that fair share uses."""
 
 EXCESS_WEIGHT = 10.0
-"""Lost work of a team with a whole weighted share counts so much less."""
+"""Reduces the eviction cost of jobs by their team's weighted share."""
 
-FAILED_TRIES = 8
-"""Batch groups that may fail to be placed in one pass. The others are tried
-in the next one, and what came meanwhile and is urgent goes first there."""
+MAX_FAILED_GROUPS = 8
+"""Batch groups that may fail to be placed in one pass.
+
+The others are tried in the next pass, after urgent tasks that have arrived
+in the meantime.
+"""
 
 
 @attrs.define
 class PlacementResult:
-    """What one pass did.
+    """Result of one placement pass.
 
     Attributes:
-      workers: Workers whose links have news.
+      workers: Names of the workers whose sessions have commands to send.
       more: Whether the transaction filled up before the queue was done.
     """
 
@@ -57,7 +66,21 @@
 
 
 class Scheduler:
-    """Places pending tasks into a draft of the ledger."""
+    """Places pending tasks by changing a draft transaction of the slice.
+
+    Args:
+      occupancy: The tasks on each worker.
+      sizes: Learned sizes and run times of job classes.
+      overruns: Measured needs of jobs that exceeded their commitment.
+      fair: Quotas and fair shares of teams.
+      budget: Evictions that may be spent.
+      quarantine: Workers on probation.
+      make_cost: Returns the placement cost function of a task, from the
+        task, the monotonic time and the seconds it has been pending.
+      on_change: Called with each task whose state was changed in the draft.
+      limit_cores: Returns a task with its cores reduced to the share that it
+        may use on the named worker.
+    """
 
     def __init__(
         self,
@@ -68,13 +91,13 @@
         budget: EvictionBudget,
         quarantine: Quarantine,
         make_cost: Callable[[Task, float, float], Cost],
-        note: Callable[[Task], None],
-        limit: Callable[[Task, str], Task],
+        on_change: Callable[[Task], None],
+        limit_cores: Callable[[Task, str], Task],
     ):
         self.queue = PendingQueue()
         self.index = WorkerIndex()
         self.reservations: dict[str, Reservation] = {}
-        self._renew_at = -math.inf
+        self._refresh_at = -math.inf
         self._occupancy = occupancy
         self._sizes = sizes
         self._overruns = overruns
@@ -82,8 +105,8 @@
         self._budget = budget
         self._quarantine = quarantine
         self._make_cost = make_cost
-        self._note = note
-        self._limit = limit
+        self._on_change = on_change
+        self._limit_cores = limit_cores
 
     def synchronize(
         self,
@@ -91,85 +114,97 @@
         reachable: Iterable[str],
         now: float,
     ) -> None:
-        """Takes over what changed of the workers."""
+        """Updates the worker index and, from time to time, the capacity.
+
+        Args:
+          records: All worker records by name.
+          reachable: Names of the reachable workers.
+          now: Monotonic time.
+        """
         self.index.synchronize(records, reachable)
         for room in self.index.pop_grown():
             self.queue.unblock(room)
-        if now >= self._renew_at:
-            self._renew_at = now + RENEW_SECONDS
+        if now >= self._refresh_at:
+            self._refresh_at = now + REFRESH_SECONDS
             total = Room()
             for record in records.values():
                 total = total.add(record.capacity)
             self._fair.set_capacity(total)
 
     def place(self, draft: Draft, now: float, wall: float) -> PlacementResult:
-        """Places as many pending tasks as fit into one transaction."""
-        done = PlacementResult()
+        """Places as many pending tasks as fit into one transaction.
+
+        Args:
+          draft: The transaction.
+          now: Monotonic time.
+          wall: Wall time, which task acceptance times refer to.
+        """
+        result = PlacementResult()
         self._drop_reservations(now)
         failed = 0
-        work = QueuePass(self.queue, self._fair.get_share, now, wall)
+        queue_pass = QueuePass(self.queue, self._fair.get_share, now, wall)
         while True:
             if draft.is_full:
-                done.more = True
-                return done
-            taken = work.pop()
-            if taken is None or failed >= FAILED_TRIES:
-                return done
-            group, task_id = taken
+                result.more = True
+                return result
+            head = queue_pass.pop()
+            if head is None or failed >= MAX_FAILED_GROUPS:
+                return result
+            group, task_id = head
             task = draft.get_task(task_id)
             if task is None or task.phase is not Phase.PENDING:
                 self.queue.remove(task_id)
-                work.requeue(group)
+                queue_pass.requeue(group)
                 continue
-            task = self._size(task)
-            if self._try_place(draft, work, group, task, now, done):
-                work.requeue(group)
+            task = self._apply_learned_size(task)
+            if self._try_place(draft, queue_pass, group, task, now, result):
+                queue_pass.requeue(group)
             else:
-                work.block(group, task.demand)
+                queue_pass.block(group, task.demand)
                 failed += group.tier == BATCH
 
     def _try_place(
         self,
         draft: Draft,
-        work: QueuePass,
+        queue_pass: QueuePass,
         group: Group,
         task: Task,
         now: float,
-        done: PlacementResult,
+        result: PlacementResult,
     ) -> bool:
         if not task.is_service and not self._fair.allows(
             task.team, task.demand
         ):
             return False
         worker = None
-        if not work.is_too_large(task.demand):
+        if not queue_pass.is_too_large(task.demand):
             pending_seconds = self.queue.get_pending_seconds(task.id, now)
             cost = self._make_cost(task, now, pending_seconds)
-            cost = self._keep_off(task, cost, now)
-            worker = self.index.choose(self._forgive(task), cost)
+            cost = self._exclude_reserved(task, cost, now)
+            worker = self.index.choose(self._reset_failed_workers(task), cost)
         if worker is not None:
-            placed = draft.place(self._limit(task, worker.name), worker)
+            placed = draft.place(self._limit_cores(task, worker.name), worker)
             self.index.update(draft.get_worker(worker.name))
             self.reservations.pop(task.id, None)
-            self._note(placed)
-            done.workers.add(worker.name)
+            self._on_change(placed)
+            result.workers.add(worker.name)
             return True
-        self._find_way(draft, work, group, task, now, done)
+        self._reserve_or_preempt(draft, queue_pass, group, task, now, result)
         return False
 
-    def _size(self, task: Task) -> Task:
-        """Gives a job the size that was learned for it."""
+    def _apply_learned_size(self, task: Task) -> Task:
+        """Returns a job with its learned or measured demand."""
         if task.is_service:
             return task
         declared = task.declared or task.demand
         need = self._overruns.get_need(task)
         demand = need or self._sizes.get_demand(task, declared)
-        if demand != declared and not self._could_hold(demand):
+        if demand != declared and not self._fits_some_worker(demand):
             demand = declared
         return attrs.evolve(task, demand=demand, declared=declared, share=1.0)
 
-    def _forgive(self, task: Task) -> Task:
-        """Lets a job that failed on every open worker try them again."""
+    def _reset_failed_workers(self, task: Task) -> Task:
+        """Clears a job's failed workers if it failed on all open ones."""
         if not task.failed_on:
             return task
         names = {record.name for record in self.index.list_open()}
@@ -177,145 +212,163 @@
             return task
         return attrs.evolve(task, failed_on=())
 
-    def _could_hold(self, demand: Demand) -> bool:
+    def _fits_some_worker(self, demand: Demand) -> bool:
         return any(demand.fits(r.capacity) for r in self.index.list_open())
 
-    def _keep_off(self, task: Task, cost: Cost, now: float) -> Cost:
-        """Adds to a cost the workers that are kept for others."""
-        kept = {
-            held.worker: held
-            for held in self.reservations.values()
-            if held.task != task.id
+    def _exclude_reserved(self, task: Task, cost: Cost, now: float) -> Cost:
+        """Returns a cost that rejects workers reserved for other tasks.
+
+        It also rejects workers on probation that already hold a task.
+        """
+        reserved_workers = {
+            reservation.worker: reservation
+            for reservation in self.reservations.values()
+            if reservation.task != task.id
         }
         end = now + self._sizes.get_seconds(task)
-        restricted = is_batch(task)
+        restricted = is_batch_job(task)
         if task.is_service:
-            kept = {}
-
-        def price(record: WorkerRecord) -> float:
-            held = kept.get(record.name)
-            if held and (restricted or held.urgent) and end > held.ready:
+            reserved_workers = {}
+
+        def get_cost(record: WorkerRecord) -> float:
+            reservation = reserved_workers.get(record.name)
+            if (
+                reservation
+                and (restricted or reservation.urgent)
+                and end > reservation.ready
+            ):
                 return math.inf
-            if self._is_probed(record):
+            if self._has_probation_task(record):
                 return math.inf
             return cost(record)
 
-        return price
+        return get_cost
 
-    def _is_probed(self, record: WorkerRecord) -> bool:
-        probed = self._quarantine.is_on_probation(record.name)
-        return probed and bool(record.commitments)
+    def _has_probation_task(self, record: WorkerRecord) -> bool:
+        on_probation = self._quarantine.is_on_probation(record.name)
+        return on_probation and bool(record.commitments)
 
     def _drop_reservations(self, now: float) -> None:
-        for held in list(self.reservations.values()):
-            waiting = self.queue.is_pending(held.task)
-            useful = held.worker in self.index and now <= held.until
-            if not waiting or not useful:
-                del self.reservations[held.task]
+        for reservation in list(self.reservations.values()):
+            is_pending = self.queue.is_pending(reservation.task)
+            useful = (
+                reservation.worker in self.index and now <= reservation.until
+            )
+            if not is_pending or not useful:
+                del self.reservations[reservation.task]
 
-    def _find_way(
+    def _reserve_or_preempt(
         self,
         draft: Draft,
-        work: QueuePass,
+        queue_pass: QueuePass,
         group: Group,
         task: Task,
         now: float,
-        done: PlacementResult,
+        result: PlacementResult,
     ) -> None:
-        held = self.reservations.get(task.id)
-        if held is not None:
-            if task.demand.fits(self.index.get_free(held.worker)):
-                # There is room, and something else keeps the task off.
+        reservation = self.reservations.get(task.id)
+        if reservation is not None:
+            if task.demand.fits(self.index.get_free(reservation.worker)):
+                # The reserved worker has enough free resources, so something
+                # else blocks the task.
                 del self.reservations[task.id]
             return
         if group.tier < BATCH:
-            self._preempt(draft, task, now, done)
+            self._preempt(draft, task, now, result)
             return
         has_room = self.index.choose(task) is not None
         if has_room or task.failed_on:
             return
-        work.record_unplaceable(task.demand)
+        queue_pass.record_unplaceable(task.demand)
         pending_seconds = self.queue.get_pending_seconds(task.id, now)
         reserved = any(not r.urgent for r in self.reservations.values())
         if pending_seconds >= RESERVE_AFTER_SECONDS and not reserved:
             self._reserve(task, now)
 
     def _preempt(
-        self, draft: Draft, task: Task, now: float, done: PlacementResult
+        self, draft: Draft, task: Task, now: float, result: PlacementResult
     ) -> None:
-        kept = {held.worker for held in self.reservations.values()}
-        able = (
+        reserved_workers = {
+            reservation.worker for reservation in self.reservations.values()
+        }
+        candidates = (
             (record, list(self._list_victims(draft, record.name)))
-            for record in self._list_probes(task.demand)
-            if record.name not in kept and record.name not in task.failed_on
+            for record in self._list_candidates(task.demand)
+            if record.name not in reserved_workers
+            and record.name not in task.failed_on
         )
         chosen = choose_victims(
-            task.demand, able, lambda victim: self._price(victim, now)
+            task.demand,
+            candidates,
+            lambda victim: self._get_eviction_cost(victim, now),
         )
         if chosen is None:
             return
         for victim in chosen.victims:
             if draft.is_full:
-                done.more = True
+                result.more = True
                 break
             self._budget.force_spend(now)
             moved = draft.transition(
                 victim, Transition.EVICT, reason=f'makes room for {task.id}'
             )
-            self._note(moved)
-        done.workers.add(chosen.worker)
-        until = now + PREEMPTED_SECONDS
+            self._on_change(moved)
+        result.workers.add(chosen.worker)
+        until = now + PREEMPTION_RESERVATION_SECONDS
         self.reservations[task.id] = Reservation(
             task.id, chosen.worker, now, until, urgent=True
         )
 
     def _list_victims(self, draft: Draft, worker: str) -> Iterator[Task]:
-        for held in self._occupancy.list_tasks(worker):
-            task = draft.get_task(held.id)
-            if task is None or task.attempt != held.attempt:
+        for listed in self._occupancy.list_tasks(worker):
+            task = draft.get_task(listed.id)
+            if task is None or task.attempt != listed.attempt:
                 continue
             if is_evictable(task) or task.phase is Phase.EVICTING:
                 yield task
 
-    def _price(self, victim: Task, now: float) -> float:
-        """Returns what evicting a job costs, in seconds of lost work.
+    def _get_eviction_cost(self, victim: Task, now: float) -> float:
+        """Returns the cost of evicting a job, in seconds of lost work.
 
-        Its run time stands for its progress since the last checkpoint, whose
-        time is not reported. A team over its fair share loses work first.
+        The job's run time approximates its progress since the last
+        checkpoint, whose time is not reported. Jobs of teams with a large
+        fair share cost less, so they are evicted first.
         """
         excess = 1 + EXCESS_WEIGHT * self._fair.get_share(victim.team)
         lost = 1 + self._occupancy.get_running_seconds(victim.id, now)
         return lost * (1 + victim.evictions) / excess
 
     def _reserve(self, task: Task, now: float) -> None:
-        able = (
+        candidates = (
             (record, self._occupancy.list_tasks(record.name))
-            for record in self._list_probes(task.demand)
+            for record in self._list_candidates(task.demand)
+        )
+        found = find_reservation(
+            task, candidates, lambda t: self._estimate_end(t, now)
         )
-        found = find_reservation(task, able, lambda t: self._get_end(t, now))
         if found is not None:
             worker, ready = found
-            until = max(now, ready) + RESERVED_SECONDS
+            until = max(now, ready) + RESERVATION_SECONDS
             self.reservations[task.id] = Reservation(
                 task.id, worker, ready, until
             )
 
-    def _get_end(self, task: Task, now: float) -> float:
+    def _estimate_end(self, task: Task, now: float) -> float:
         if task.is_service:
             return math.inf
         ran = self._occupancy.get_running_seconds(task.id, now)
         return now + max(1.0, self._sizes.get_seconds(task) - ran)
 
-    def _list_probes(self, demand: Demand) -> Iterator[WorkerRecord]:
-        """Yields open workers that could hold a demand, in changing order."""
+    def _list_candidates(self, demand: Demand) -> Iterator[WorkerRecord]:
+        """Yields open workers that could hold a demand, in rotating order."""
         return self.index.rotate(demand)
 
     def explain(self, task: Task) -> str:
-        """Says why a pending task waits."""
+        """Returns why a task is still pending."""
         if task.id in self.reservations:
-            held = self.reservations[task.id]
-            return f'room is being freed on {held.worker}'
-        sized = self._size(task)
+            reservation = self.reservations[task.id]
+            return f'room is being freed on {reservation.worker}'
+        sized = self._apply_learned_size(task)
         if not task.is_service and not self._fair.allows(
             task.team, sized.demand
         ):
@@ -325,6 +378,6 @@
         return 'would disturb the services where there is room'
 
 
-def is_batch(task: Task) -> bool:
-    """Tells whether a task gives way to all others."""
+def is_batch_job(task: Task) -> bool:
+    """Returns whether a task is a job of batch urgency."""
     return not task.is_service and task.urgency.value == 'batch'
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement against a naive placer that looks at every worker."""
+"""Tests of placement, against an exhaustive search over all workers."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     )
 
 
-def choose_naively(
+def choose_exhaustively(
     task: Task, records: list[WorkerRecord]
 ) -> WorkerRecord | None:
-    """Returns the fitting worker with the least free, by trying them all."""
+    """Returns the fitting worker with the fewest free resources."""
     fitting = [
         record
         for record in records
@@ -57,10 +57,10 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(ROOMS, st.booleans()), max_size=40), st.data())
-def test_the_index_places_as_the_naive_placer_does(
+def test_index_finds_workers_within_the_score_bound(
     rooms: list[tuple[Room, bool]], data: st.DataObject
 ) -> None:
-    """The index found no place, or a far worse one, where there was one."""
+    """Guards against an index that misses a fitting worker or the best ones."""
     index = WorkerIndex()
     records = [make_record(n, room, up) for n, (room, up) in enumerate(rooms)]
     index.synchronize({r.name: r for r in records}, [r.name for r in records])
@@ -69,7 +69,7 @@
         skipped = data.draw(st.integers(-1, len(records) - 1))
         if skipped >= 0:
             task = attrs.evolve(task, failed_on=(records[skipped].name,))
-        naive = choose_naively(task, records)
+        naive = choose_exhaustively(task, records)
         chosen = index.choose(task)
         priced = index.choose(task, lambda record: 0.0)
         assert (naive is None) == (chosen is None) == (priced is None)
@@ -83,14 +83,14 @@
         index.update(chosen.commit(task))
 
 
-def test_accelerators_are_left_to_those_who_need_them() -> None:
+def test_jobs_without_accelerators_avoid_accelerator_workers() -> None:
     index = WorkerIndex()
     index.update(make_record(0, Room(8.0, 8000, 4)))
     index.update(make_record(1, Room(32.0, 64_000, 0)))
     plain = index.choose(Task('Job/t/a/0', Demand(1, 1000)))
-    needy = index.choose(Task('Job/t/b/0', Demand(1, 1000, 1)))
+    accelerated = index.choose(Task('Job/t/b/0', Demand(1, 1000, 1)))
     assert plain and plain.name == 'w-001'
-    assert needy and needy.name == 'w-000'
+    assert accelerated and accelerated.name == 'w-000'
 
 
 def test_replicas_spread_over_workers_and_racks() -> None:
