--- a/lentilmount/batch/headroom.py
+++ b/lentilmount/batch/headroom.py
@@ -1,4 +1,4 @@
-"""How much of its speed each service has left, for new work beside it."""
+"""Computes the slowdown that each service can still take from new jobs."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 from lentilmount.batch.records import Task
 
 PEAK_SECONDS = 240.0
-"""Work is placed for the highest load band of this time, as load returns."""
+"""Window whose highest load band placement assumes, since load may return."""
 
 NOISY_EFFECT = 0.35
-"""A job that alone would take more of what a service may lose is noisy."""
+"""Share of the allowed slowdown above which a single job counts as noisy."""
 
-NOISY_PART = 0.2
-"""What all noisy jobs on a worker may take of it, so that they do not use up
-what many quiet ones could share."""
+NOISY_FRACTION = 0.2
+"""Share of the allowed slowdown that all noisy jobs on a worker may use.
 
-CAUTION = 0.5
-"""Standard deviations by which a slowdown is taken for worse than known."""
+The rest is left for quiet jobs, of which many more fit.
+"""
+
+MARGIN_DEVIATIONS = 0.5
+"""Safety margin added to estimated slowdowns, in standard deviations."""
 
 
 @attrs.define
-class Strain:
-    """How one service on one worker stands, kept until something changes.
+class ServiceSlowdown:
+    """Expected slowdown of one service on one worker.
 
     Attributes:
       service: The service.
-      band: The load band that work is placed for.
-      quiet: Logarithm of the slowdown expected of quiet jobs.
-      noisy: The same of noisy ones.
-      variance: Of both together.
+      band: The load band that placement assumes.
+      quiet: Logarithm of the slowdown expected from quiet jobs.
+      noisy: Logarithm of the slowdown expected from noisy jobs.
+      variance: Variance of the sum of both.
     """
 
     service: str
@@ -45,24 +47,27 @@
     variance: float = 0.0
 
     def get_total(self, limit: float) -> float:
-        """Returns what counts as taken.
+        """Returns the logarithm of the slowdown that counts against the limit.
+
+        Noisy jobs started at a lower load are throttled down to their part of
+        the limit, so they do not keep quiet jobs away beyond it.
 
-        Noisy jobs that were begun at a lower load are throttled down to
-        their part, and keep no quiet ones away beyond it.
+        Args:
+          limit: Logarithm of the allowed slowdown.
         """
-        return self.quiet + min(self.noisy, NOISY_PART * limit)
+        return self.quiet + min(self.noisy, NOISY_FRACTION * limit)
 
 
 class HeadroomTracker:
-    """The strain on every service, kept for each worker.
+    """Expected slowdowns of all services, cached by worker.
 
     Args:
-      occupancy: Which tasks are where.
-      model: What was learned of interference.
+      occupancy: The tasks on each worker.
+      model: The interference model.
 
     Attributes:
-      begun: Jobs that were begun with a part of their processors.
-      limit: Logarithm of the slowdown that a service may suffer.
+      initial_shares: Shares of jobs started with fewer cores, by task id.
+      slowdown_limit: Logarithm of the slowdown allowed for a service.
     """
 
     def __init__(self, occupancy: Occupancy, model: InterferenceModel):
@@ -72,86 +77,100 @@
         self._model = model
         self._bands: dict[str, dict[int, float]] = {}
         self._idle: set[str] = set()
-        self._strains: dict[str, list[Strain]] = {}
+        self._slowdowns: dict[str, list[ServiceSlowdown]] = {}
 
     def clear(self) -> None:
-        """Works everything out anew when next asked."""
-        self._strains.clear()
+        """Discards the cached values of all workers."""
+        self._slowdowns.clear()
 
     def invalidate(self, worker: str) -> None:
-        """Works a worker's services out anew when next asked."""
-        self._strains.pop(worker, None)
+        """Discards the cached values of a worker."""
+        self._slowdowns.pop(worker, None)
 
     def forget(self, task: str) -> None:
-        """Drops what is remembered of a task that left its worker."""
+        """Discards the state of a task that left its worker."""
         self._idle.discard(task)
         self._bands.pop(task, None)
         self.initial_shares.pop(task, None)
 
     def record_idle(self, worker: str, task: str) -> None:
-        """Takes note that a service had no requests."""
+        """Records that a service replica had no requests."""
         if task not in self._idle:
             self._idle.add(task)
             self.invalidate(worker)
 
     def record_load(self, worker: str, task: str, band: int, at: float) -> None:
-        """Takes note of a service's load band."""
+        """Records the load band of a service replica.
+
+        Args:
+          worker: Name of its worker.
+          task: Id of the replica.
+          band: The load band.
+          at: Monotonic time of the measurement.
+        """
         self._idle.discard(task)
         self._bands.setdefault(task, {})[band] = at
         self.invalidate(worker)
 
     def get_allowed_share(self, name: str, worker: str, now: float) -> float:
-        """Returns how much of its processors a class may use on a worker."""
+        """Returns the share of its cores that a job class may use on a worker.
+
+        Args:
+          name: Name of the job class.
+          worker: Name of the worker.
+          now: Monotonic time.
+        """
         share = 1.0
         for slowdown in self.list_slowdowns(worker, now):
             mean, variance = self._model.get_term(
                 slowdown.service, name, slowdown.band, now
             )
-            doubt = CAUTION * math.sqrt(slowdown.variance + variance)
-            room = (
+            margin = MARGIN_DEVIATIONS * math.sqrt(slowdown.variance + variance)
+            headroom = (
                 self.slowdown_limit
                 - slowdown.get_total(self.slowdown_limit)
-                - doubt
+                - margin
             )
             if mean > NOISY_EFFECT * self.slowdown_limit:
-                room = min(
-                    room, NOISY_PART * self.slowdown_limit - slowdown.noisy
+                headroom = min(
+                    headroom,
+                    NOISY_FRACTION * self.slowdown_limit - slowdown.noisy,
                 )
-            if mean > room:
-                share = min(share, max(0.0, room / max(mean, MIN_EFFECT)))
+            if mean > headroom:
+                share = min(share, max(0.0, headroom / max(mean, MIN_EFFECT)))
         return share
 
-    def list_slowdowns(self, worker: str, now: float) -> list[Strain]:
-        """Returns the services of a worker that are to be kept fast."""
-        strains = self._strains.get(worker)
-        if strains is None:
-            strains = [
-                self._strain(task, now)
+    def list_slowdowns(self, worker: str, now: float) -> list[ServiceSlowdown]:
+        """Returns the expected slowdowns of a worker's active services."""
+        slowdowns = self._slowdowns.get(worker)
+        if slowdowns is None:
+            slowdowns = [
+                self._compute_slowdown(task, now)
                 for task in self._occupancy.list_tasks(worker)
                 if task.is_service and not self._is_idle(task, now)
             ]
-            self._strains[worker] = strains
-        return strains
+            self._slowdowns[worker] = slowdowns
+        return slowdowns
 
     def _list_bands(self, task: Task, now: float) -> list[int]:
         seen = self._bands.get(task.id, {})
         return [b for b, at in seen.items() if now - at < PEAK_SECONDS]
 
     def _is_idle(self, task: Task, now: float) -> bool:
-        # A service without requests gives no percentile to learn from. Kept
-        # cautious for it, its worker would take a handful of jobs and then
-        # none for ever, however much of it is free.
+        # A service without requests yields no percentile to learn from. With
+        # the margin for unknown pairs its worker would accept a handful of
+        # jobs and then no more, however many resources are free.
         return task.id in self._idle and not self._list_bands(task, now)
 
-    def _strain(self, task: Task, now: float) -> Strain:
+    def _compute_slowdown(self, task: Task, now: float) -> ServiceSlowdown:
         bands = self._list_bands(task, now)
-        slowdown = Strain(task.resource, max(bands, default=0))
+        slowdown = ServiceSlowdown(task.resource, max(bands, default=0))
         noisy = NOISY_EFFECT * self.slowdown_limit
         for job in self._occupancy.list_tasks(task.worker):
             if job.is_service:
                 continue
-            # A throttled job counts as it was begun: new jobs in the room that
-            # its throttle made would keep it throttled for ever.
+            # A throttled job counts with its initial share: if new jobs took
+            # the headroom that its throttle created, it would stay throttled.
             share = self.initial_shares.get(job.id, job.share)
             mean, variance = self._model.get_term(
                 slowdown.service, get_class_name(job), slowdown.band, now
--- a/lentilmount/batch/interference_control.py
+++ b/lentilmount/batch/interference_control.py
@@ -1,4 +1,8 @@
-"""Learning interference from measurements, and acting on it."""
+"""Learns interference from worker measurements and limits it.
+
+Throttles or evicts jobs that slow a service down, and prices the placement of
+new tasks by their expected interference.
+"""
 
 from __future__ import annotations
 
@@ -30,56 +34,67 @@
 from lentilmount.upstream.workers import Action, Command, Usage
 
 WINDOW_SECONDS = 5.0
-"""Time over which a worker takes the 99th percentile that it reports."""
+"""Window over which a worker computes the 99th percentile that it reports."""
+
+MIN_START_SHARE = 0.2
+"""Minimum share of its cores that a job must be able to use to be placed.
 
-START_SHARE = 0.2
-"""A job is not begun where it may use less than this of its processors: it
-would hold the rest for nothing."""
+With less, most of its commitment would stay unused.
+"""
 
-LONG_WAIT_SECONDS = 600.0
-"""After which a job is begun with `MIN_SHARE` rather than never."""
+LONG_PENDING_SECONDS = 600.0
+"""Pending time after which `MIN_SHARE` suffices, to prevent starvation."""
 
-CORES_A_DOUBLING = 12.0
-"""What a service that becomes e times slower costs, in cores left free."""
+SLOWDOWN_COST_CORES = 12.0
+"""Cost of slowing a service down by a factor of e, in free cores."""
 
-CORES_A_FULL_THROTTLE = 8.0
-"""What it costs to place a job where it may use next to nothing."""
+FULL_THROTTLE_COST_CORES = 8.0
+"""Cost of placing a job where it could use almost none of its cores."""
 
-CONFIDENT = 0.5
-OVERRUN = 'uses more than was committed for it'
+MIN_CONFIDENCE = 0.5
+OVERRUN_REASON = 'uses more than was committed for it'
 RESEND_SECONDS = 10.0
-"""A throttle is sent again so often, as an order may be lost."""
+"""Interval at which throttles are resent, since a command may be lost."""
+
+SAME_MEASUREMENT_SECONDS = 0.5
+"""Measurement times that differ by less belong to the same measurement."""
 
-SAME_SECONDS = 0.5
 LAG_GAIN = 0.02
-"""Weight of one measurement in the mean lag."""
+"""Weight of one measurement in the moving average of the lag."""
 
 
 class WorkerLink(Protocol):
-    """What the policy needs of the link to a worker."""
+    """The part of a worker's session that the policy uses."""
 
     @property
     def name(self) -> str:
-        """The worker."""
+        """Name of the worker."""
 
     @property
     def reachable(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the worker answered the last call."""
 
     @property
     def usage(self) -> tuple[Usage, ...]:
-        """What it last reported; a new object for each report."""
+        """The last reported measurements; a new object for each report."""
 
     def send(self, command: Command) -> None:
-        """Sends a command with the next call, once."""
+        """Adds a command to the next call."""
 
     def wake(self) -> None:
-        """Makes the link call now."""
+        """Calls the worker immediately."""
 
 
 @attrs.frozen
 class _Reading:
-    """What one measurement says of a service."""
+    """The evaluated measurement of one service.
+
+    Attributes:
+      service: The service.
+      band: Its load band.
+      ratio: Its latency as a multiple of that without jobs.
+      at: Monotonic time of the measurement.
+    """
 
     service: str
     band: int
@@ -88,13 +103,13 @@
 
 
 class InterferenceController:
-    """Keeps services near their speed alone.
+    """Keeps services close to their latency without co-located jobs.
 
     Args:
-      occupancy: Which tasks are where.
-      sizes: Learns sizes from the same measurements.
-      overruns: Judges jobs by the same measurements.
-      try_spend: Spends one eviction if the budget allows it.
+      occupancy: The tasks on each worker.
+      sizes: Learns job sizes from the same measurements.
+      overruns: Detects overruns in the same measurements.
+      try_spend: Spends one eviction; returns whether the budget allowed it.
     """
 
     def __init__(
@@ -113,64 +128,66 @@
         self._weights = ConfigurationSpec()
         self._limits = Limits()
         self._lag = 0.0
-        self._read: dict[str, tuple[Usage, ...]] = {}
-        self._measured: dict[str, float] = {}
-        self._learned: dict[str, float] = {}
-        self._strains = HeadroomTracker(occupancy, self.model)
-        self._sent: dict[tuple[str, int], float] = {}
-        self._caps: dict[str, float] = {}
-        self._set_limit()
+        self._last_usage: dict[str, tuple[Usage, ...]] = {}
+        self._measured_at: dict[str, float] = {}
+        self._learned_at: dict[str, float] = {}
+        self._headroom = HeadroomTracker(occupancy, self.model)
+        self._sent_at: dict[tuple[str, int], float] = {}
+        self._share_caps: dict[str, float] = {}
+        self._update_slowdown_limit()
 
     def set_weights(self, weights: ConfigurationSpec) -> None:
-        """Takes over how the deployment weighs things."""
+        """Sets the deployment's weights."""
         if weights != self._weights:
             self._weights = weights
             self._limits = make_limits(weights)
-            self._strains.clear()
-            self._set_limit()
+            self._headroom.clear()
+            self._update_slowdown_limit()
 
-    def _set_limit(self) -> None:
+    def _update_slowdown_limit(self) -> None:
         high = tighten(self._limits, self._lag).high
-        self._strains.slowdown_limit = math.log(high)
+        self._headroom.slowdown_limit = math.log(high)
 
     def invalidate(self, worker: str) -> None:
-        """Takes note that other tasks are on a worker."""
-        self._strains.invalidate(worker)
+        """Discards the cached headroom of a worker whose tasks changed."""
+        self._headroom.invalidate(worker)
 
     def forget(self, task: str) -> None:
-        """Drops what is remembered of a task that left its worker."""
-        self._measured.pop(task, None)
-        self._learned.pop(task, None)
-        self._caps.pop(task, None)
-        self._strains.forget(task)
+        """Discards the state of a task that left its worker."""
+        self._measured_at.pop(task, None)
+        self._learned_at.pop(task, None)
+        self._share_caps.pop(task, None)
+        self._headroom.forget(task)
 
     def process_usage(
         self, session: WorkerLink, now: float
     ) -> list[EvictAction]:
-        """Takes in what a worker measured, and acts on it.
+        """Processes a worker's new measurements and sends throttles.
 
         Returns:
-          The jobs to evict; throttles are sent.
+          The jobs to evict.
         """
-        if self._read.get(session.name) is session.usage:
+        if self._last_usage.get(session.name) is session.usage:
             return []
-        self._read[session.name] = session.usage
+        self._last_usage[session.name] = session.usage
         evictions: list[EvictAction] = []
         worst: _Reading | None = None
-        for task, usage in self._list_fresh(session, now):
+        for task, usage in self._list_new_measurements(session, now):
             if not task.is_service:
-                evictions += self._judge(session, task, usage, now)
+                evictions += self._check_overrun(session, task, usage, now)
                 continue
-            reading = self._learn(session.name, task, usage, now - usage.age)
+            reading = self._evaluate_service(
+                session.name, task, usage, now - usage.age
+            )
             if reading and (worst is None or reading.ratio > worst.ratio):
                 worst = reading
         if worst is not None:
             self._lag += LAG_GAIN * (now - worst.at - self._lag)
-            self._set_limit()
-            evictions += self._protect(session, worst, now)
+            self._update_slowdown_limit()
+            evictions += self._limit_interference(session, worst, now)
         return evictions
 
-    def _list_fresh(
+    def _list_new_measurements(
         self, session: WorkerLink, now: float
     ) -> Iterator[tuple[Task, Usage]]:
         for usage in session.usage:
@@ -178,36 +195,40 @@
             if task is None or task.attempt != usage.attempt:
                 continue
             at = now - usage.age
-            if at > self._measured.get(task.id, -math.inf) + SAME_SECONDS:
-                self._measured[task.id] = at
+            if (
+                at
+                > self._measured_at.get(task.id, -math.inf)
+                + SAME_MEASUREMENT_SECONDS
+            ):
+                self._measured_at[task.id] = at
                 yield task, usage
 
-    def _judge(
+    def _check_overrun(
         self, session: WorkerLink, job: Task, usage: Usage, now: float
     ) -> list[EvictAction]:
-        # Measured before the throttle changed, or while it did, it would
-        # give a wrong size at the share of now.
+        # A measurement window that overlaps the last throttle change would
+        # give a wrong size for the current share.
         settled = self._occupancy.get_throttled_at(job) + WINDOW_SECONDS
         if now - usage.age < settled:
             return []
         share = self._occupancy.get_throttle(job)
         self._sizes.observe(job, usage, share)
-        verdict = self._overruns.evaluate(job, usage, share, now)
-        if verdict is None:
+        overrun_action = self._overruns.evaluate(job, usage, share, now)
+        if overrun_action is None:
             return []
-        if verdict.share < share:
-            self._caps[job.id] = verdict.share
+        if overrun_action.share < share:
+            self._share_caps[job.id] = overrun_action.share
             self.throttle(
                 session, ThrottleAction(job.id, job.attempt, share), now
             )
-        if verdict.relocate and is_evictable(job) and self._try_spend():
-            return [EvictAction(job.id, job.attempt, OVERRUN)]
+        if overrun_action.relocate and is_evictable(job) and self._try_spend():
+            return [EvictAction(job.id, job.attempt, OVERRUN_REASON)]
         return []
 
-    def _protect(
+    def _limit_interference(
         self, session: WorkerLink, worst: _Reading, now: float
     ) -> list[EvictAction]:
-        acts = self._isolator.decide(
+        actions = self._isolator.decide(
             session.name,
             worst.ratio,
             worst.at,
@@ -215,32 +236,32 @@
             self._list_neighbours(session.name, worst, now),
             tighten(self._limits, self._lag),
         )
-        for act in acts:
-            if isinstance(act, ThrottleAction):
-                self.throttle(session, act, now)
-        return [act for act in acts if isinstance(act, EvictAction)]
+        for action in actions:
+            if isinstance(action, ThrottleAction):
+                self.throttle(session, action, now)
+        return [action for action in actions if isinstance(action, EvictAction)]
 
-    def _learn(
+    def _evaluate_service(
         self, worker: str, task: Task, usage: Usage, at: float
     ) -> _Reading | None:
         if usage.p99_ms <= 0:
-            self._strains.record_idle(worker, task.id)
+            self._headroom.record_idle(worker, task.id)
             return None
         band = get_load_band(usage.load)
-        self._strains.record_load(worker, task.id, band, at)
+        self._headroom.record_load(worker, task.id, band, at)
         mix = self._occupancy.get_mean_mix(worker, at - WINDOW_SECONDS, at)
         if mix is None:
             return None
         name = task.resource
-        # Measurements whose windows overlap say the same thing twice.
-        if at >= self._learned.get(task.id, -math.inf) + WINDOW_SECONDS:
-            self._learned[task.id] = at
+        # Measurements with overlapping windows are not independent.
+        if at >= self._learned_at.get(task.id, -math.inf) + WINDOW_SECONDS:
+            self._learned_at[task.id] = at
             self.model.observe(name, band, mix, usage.p99_ms, at)
         ratio = self.model.get_ratio(name, band, usage.p99_ms)
-        expected = self.model.predict(name, band, mix, at)
-        # One measured percentile is noisy; what was learned steadies it.
-        if expected.confidence >= CONFIDENT:
-            ratio = math.sqrt(ratio * expected.ratio)
+        predicted = self.model.predict(name, band, mix, at)
+        # A single percentile is noisy, so it is averaged with the prediction.
+        if predicted.confidence >= MIN_CONFIDENCE:
+            ratio = math.sqrt(ratio * predicted.ratio)
         return _Reading(name, band, ratio, at)
 
     def _list_neighbours(
@@ -261,92 +282,96 @@
         ]
 
     def throttle(
-        self, session: WorkerLink, act: ThrottleAction, now: float
+        self, session: WorkerLink, action: ThrottleAction, now: float
     ) -> None:
-        """Gives a job another share of its processors."""
-        job = self._occupancy.get(act.task)
-        if job is None or job.attempt != act.attempt:
+        """Changes the share of its cores that a job may use."""
+        job = self._occupancy.get(action.task)
+        if job is None or job.attempt != action.attempt:
             return
-        share = min(act.share, self._caps.get(job.id, 1.0))
+        share = min(action.share, self._share_caps.get(job.id, 1.0))
         self._occupancy.set_throttle(job, share, now)
-        self._strains.invalidate(job.worker)
+        self._headroom.invalidate(job.worker)
         self._send(session, job, share, now)
 
     def resend(self, sessions: Mapping[str, WorkerLink], now: float) -> None:
-        """Sends throttles again that may have been lost."""
+        """Resends throttles periodically, since a command may be lost."""
         throttled = self._occupancy.list_throttled()
         for job, share in throttled:
-            sent = self._sent.get((job.id, job.attempt), -math.inf)
+            sent = self._sent_at.get((job.id, job.attempt), -math.inf)
             due = now - sent >= RESEND_SECONDS
             if due and job.worker in sessions and job.phase is Phase.RUNNING:
                 self._send(sessions[job.worker], job, share, now)
         kept = {(job.id, job.attempt) for job, _ in throttled}
-        for key in [k for k in self._sent if k not in kept]:
-            del self._sent[key]
+        for key in [k for k in self._sent_at if k not in kept]:
+            del self._sent_at[key]
 
     def _send(
         self, session: WorkerLink, job: Task, share: float, now: float
     ) -> None:
         session.send(Command(Action.THROTTLE, job.id, job.attempt, share=share))
         session.wake()
-        self._sent[job.id, job.attempt] = now
+        self._sent_at[job.id, job.attempt] = now
 
     def make_cost(
         self, task: Task, now: float, pending_seconds: float = 0.0
     ) -> Cost:
-        """Returns what placing a task on a worker costs its services.
+        """Returns a function that prices the interference on a worker.
 
-        A job is kept off where a service would probably become slower than
-        the limit. A service, which has to run, just prefers quiet workers.
+        A job is rejected where a service would probably exceed its limit. A
+        service must run somewhere, so it merely prefers workers with little
+        interference.
 
         Args:
-          task: What is to be placed.
+          task: The task to be placed.
           now: Monotonic time.
-          pending_seconds: For how many seconds it has been pending.
+          pending_seconds: Seconds that it has been pending.
         """
         if task.is_service:
             return lambda record: self._price_service(task, record, now)
         name = get_class_name(task)
-        least = (
-            START_SHARE if pending_seconds < LONG_WAIT_SECONDS else MIN_SHARE
+        min_share = (
+            MIN_START_SHARE
+            if pending_seconds < LONG_PENDING_SECONDS
+            else MIN_SHARE
         )
-        return lambda record: self._price_job(name, least, record, now)
+        return lambda record: self._price_job(name, min_share, record, now)
 
     def _price_job(
-        self, name: str, least: float, record: WorkerRecord, now: float
+        self, name: str, min_share: float, record: WorkerRecord, now: float
     ) -> float:
         price = 0.0
-        share = self._strains.get_allowed_share(name, record.name, now)
-        if share < least:
+        share = self._headroom.get_allowed_share(name, record.name, now)
+        if share < min_share:
             return math.inf
-        for slowdown in self._strains.list_slowdowns(record.name, now):
+        for slowdown in self._headroom.list_slowdowns(record.name, now):
             mean, _ = self.model.get_term(
                 slowdown.service, name, slowdown.band, now
             )
-            total = slowdown.get_total(self._strains.slowdown_limit)
+            total = slowdown.get_total(self._headroom.slowdown_limit)
             price += total + 2 * mean * share
-        price *= CORES_A_DOUBLING * self._weights.tail_weight
-        return price + CORES_A_FULL_THROTTLE * (1 - share)
+        price *= SLOWDOWN_COST_CORES * self._weights.tail_weight
+        return price + FULL_THROTTLE_COST_CORES * (1 - share)
 
     def limit_cores(self, job: Task, worker: str, now: float) -> Task:
-        """Gives a job fewer processors where its worker calls for it.
+        """Returns a job with fewer cores if its worker's services need it.
 
-        A class that no service can bear at full speed would else never run,
-        and throttled after the start it would hold what it may not use. Where
-        its size is not known, a part of what was declared may be all that it
-        wants, so it is throttled after all; see `apply_initial_throttle`.
+        A class that interferes too much at full speed would otherwise never
+        run, and throttled only after its start it would hold cores that it
+        may not use. If the size of its class is unknown, part of the declared
+        cores may be all that it needs, so it is throttled from its start
+        instead; see `apply_initial_throttle`.
         """
-        self._strains.invalidate(worker)
+        self._headroom.invalidate(worker)
         if job.is_service:
             return job
-        share = self._strains.get_allowed_share(
+        share = self._headroom.get_allowed_share(
             get_class_name(job), worker, now
         )
-        self._strains.initial_shares.pop(job.id, None)
+        self._headroom.initial_shares.pop(job.id, None)
         if share > 1 - MIN_CHANGE:
             return attrs.evolve(job, share=1.0)
         share = max(MIN_SHARE, round(share, 2))
-        self._strains.initial_shares[job.id] = share
+        self._headroom.initial_shares[job.id] = share
         if not self._sizes.is_known(job):
             return attrs.evolve(job, share=1.0)
         cores = max(MIN_CORES, round(job.demand.cores * share, 2))
@@ -354,8 +379,8 @@
         return attrs.evolve(job, demand=demand, share=share)
 
     def apply_initial_throttle(self, job: Task, now: float) -> None:
-        """Throttles a job from its start that `limit_cores` did not cut."""
-        share = self._strains.initial_shares.get(job.id, 1.0)
+        """Throttles a job from its start if `limit_cores` did not reduce it."""
+        share = self._headroom.initial_shares.get(job.id, 1.0)
         if job.share == 1 and share < 1:
             self._occupancy.set_throttle(job, share, now)
 
@@ -364,6 +389,6 @@
     ) -> float:
         mix = self._occupancy.get_mix(record.name)
         band = get_load_band(1.0)
-        expected = self.model.predict(task.resource, band, mix, now)
-        weight = CORES_A_DOUBLING * self._weights.tail_weight
-        return weight * math.log(expected.ratio)
+        predicted = self.model.predict(task.resource, band, mix, now)
+        weight = SLOWDOWN_COST_CORES * self._weights.tail_weight
+        return weight * math.log(predicted.ratio)
--- a/lentilmount/batch/isolation.py
+++ b/lentilmount/batch/isolation.py
@@ -1,4 +1,4 @@
-"""Protecting a service: throttle the jobs beside it, then evict one."""
+"""Protects services from co-located jobs: throttles them, then evicts one."""
 
 from __future__ import annotations
 
@@ -10,97 +10,109 @@
 from lentilmount.resources import ConfigurationSpec
 
 MIN_SHARE = 0.1
-"""A job keeps this share of its processors however it is throttled."""
+"""Minimum share of its cores that a throttled job keeps."""
 
 CONFIRMATIONS = 2
-"""Measurements in a row that must be too high; one may be noise."""
+"""Consecutive high measurements needed to act; a single one may be noise."""
 
 SLACK = 0.25
-"""Most that a service may lose where its tail has the weight 1 or less."""
+"""Tolerated increase of a service's tail latency at a tail weight up to 1."""
 
 SLACK_POWER = 0.125
-"""Sixteen times the weight leaves seven tenths of the slack."""
+"""Exponent of the tail weight; 16 times the weight leaves 0.7 of the slack."""
 
 LAG_SECONDS = 240.0
-"""A lag that halves the slack."""
+"""Measurement lag at which the slack is halved."""
 
-LOW_PART = 0.65
-"""Share of the slack below which jobs get processors back."""
+LOW_FRACTION = 0.65
+"""Share of the slack below which throttles are relaxed."""
 
 CALM_SECONDS = 20.0
-"""Time below the lower limit before a job gets processors back."""
+"""Initial time below the lower limit before a throttle is relaxed."""
 
-LONGEST_CALM_SECONDS = 160.0
+MAX_CALM_SECONDS = 160.0
 RELAPSE_SECONDS = 40.0
-"""A throttle so soon after a relaxation doubles the next calm time; a later
-one, which something else caused, sets it back."""
+"""Time after a relaxation in which a new throttle counts as its consequence.
+
+Such a throttle doubles the next calm time; a later one has another cause and
+resets it.
+"""
 
 RELAX_FACTOR = 1.0
-"""Most that a relaxation adds, as a multiple of the share so far."""
+"""Maximum increase in one relaxation, as a multiple of the current share."""
 
 MIN_CHANGE = 0.05
-"""Smaller changes of a share are not made."""
+"""Minimum change of a share; smaller ones are skipped."""
+
+FULL_THROTTLE_SECONDS = 20.0
+"""Time at full throttle before an eviction, at an eviction weight of 1."""
 
-PATIENCE_SECONDS = 20.0
 MIN_EFFECT = 0.01
-"""Jobs that cost a service less are not worth throttling."""
+"""Effect (logarithm of the slowdown) below which a job is not throttled."""
 
 
 @attrs.frozen
 class Limits:
-    """When to act, as multiples of the service running alone.
+    """Control thresholds, as multiples of a service's latency without jobs.
 
     Attributes:
-      high: Above it jobs are throttled.
-      low: Below it they get processors back; between the two nothing happens.
-      settle_seconds: A measurement counts if this much later than the last
-        change, so that each change is judged by its own effect.
-      patience_seconds: Time at full throttle before an eviction.
+      high: Ratio above which jobs are throttled.
+      low: Ratio below which throttles are relaxed; between the two nothing is
+        changed.
+      settle_seconds: Minimum time from a change to the next measurement that
+        is evaluated, so that the measurement shows the effect of the change.
+      full_throttle_seconds: Time at full throttle before an eviction.
     """
 
     high: float = 1.2
     low: float = 1.1
     settle_seconds: float = 5.0
-    patience_seconds: float = PATIENCE_SECONDS
+    full_throttle_seconds: float = FULL_THROTTLE_SECONDS
 
 
 def make_limits(weights: ConfigurationSpec) -> Limits:
     """Returns the limits for a deployment's weights.
 
-    The more a service's tail weighs, the earlier jobs are throttled; the more
-    an eviction weighs, the longer a full throttle is tried instead.
+    A higher tail weight throttles jobs earlier; a higher eviction weight
+    keeps jobs at full throttle for longer before one is evicted.
     """
     slack = SLACK / max(1.0, weights.tail_weight) ** SLACK_POWER
-    patience = PATIENCE_SECONDS * max(0.25, weights.eviction_weight)
+    full_throttle = FULL_THROTTLE_SECONDS * max(0.25, weights.eviction_weight)
     return Limits(
-        high=1 + slack, low=1 + LOW_PART * slack, patience_seconds=patience
+        high=1 + slack,
+        low=1 + LOW_FRACTION * slack,
+        full_throttle_seconds=full_throttle,
     )
 
 
 def tighten(limits: Limits, lag: float) -> Limits:
-    """Returns the limits for measurements that lag by some seconds.
+    """Returns stricter limits for measurements that arrive late.
 
-    What happens within the lag is not seen in time, so the later the
-    measurements come, the more room is left for it.
+    Changes within the lag cannot be observed in time, so a longer lag needs a
+    larger safety margin.
+
+    Args:
+      limits: The limits without lag.
+      lag: Mean age of the measurements in seconds.
     """
-    part = 1 / (1 + lag / LAG_SECONDS)
+    factor = 1 / (1 + lag / LAG_SECONDS)
     return attrs.evolve(
         limits,
-        high=1 + (limits.high - 1) * part,
-        low=1 + (limits.low - 1) * part,
+        high=1 + (limits.high - 1) * factor,
+        low=1 + (limits.low - 1) * factor,
     )
 
 
 @attrs.frozen
 class Neighbour:
-    """A job beside a service.
+    """A job on the same worker as a service.
 
     Attributes:
-      task: Its id.
-      attempt: The attempt's number.
-      effect: Logarithm of the slowdown that it is taken to cause unthrottled.
-      share: Share of its processors that it is allowed.
-      cost: What evicting it would cost; the cheapest of equals goes.
+      task: Task id.
+      attempt: Attempt number.
+      effect: Logarithm of the estimated slowdown that it causes unthrottled.
+      share: Share of its cores that it may use.
+      cost: Cost of evicting it; breaks ties between equal effects.
     """
 
     task: str
@@ -112,7 +124,7 @@
 
 @attrs.frozen
 class ThrottleAction:
-    """A job is to get another share of its processors."""
+    """Action: change the share of its cores that a job may use."""
 
     task: str
     attempt: int
@@ -121,7 +133,7 @@
 
 @attrs.frozen
 class EvictAction:
-    """A job is to be checkpointed and evicted."""
+    """Action: checkpoint and evict a job."""
 
     task: str
     attempt: int
@@ -130,7 +142,16 @@
 
 @attrs.define
 class _State:
-    """What is remembered of one worker."""
+    """Control state of one worker.
+
+    Attributes:
+      changed_at: Monotonic time of the last action.
+      high_count: Consecutive measurements above the upper limit.
+      low_since: Monotonic time since which the ratio was low, or None.
+      full_since: Monotonic time since which all jobs were at full throttle.
+      calm_seconds: Time that the ratio must be low before a relaxation.
+      relaxed_at: Monotonic time of the last relaxation.
+    """
 
     changed_at: float = -math.inf
     high_count: int = 0
@@ -141,10 +162,10 @@
 
 
 class Isolator:
-    """Decides for each worker, with hysteresis.
+    """Decides when to throttle, relax or evict jobs, with hysteresis.
 
     Args:
-      try_spend: Spends one eviction if the budget allows it.
+      try_spend: Spends one eviction; returns whether the budget allowed it.
     """
 
     def __init__(self, try_spend: Callable[[], bool]):
@@ -160,15 +181,16 @@
         neighbours: Sequence[Neighbour],
         limits: Limits,
     ) -> list[ThrottleAction | EvictAction]:
-        """Decides what one new measurement calls for.
+        """Returns the actions for one new measurement of a worker.
 
         Args:
-          worker: Where it was measured.
-          ratio: Worst service's time as a multiple of running alone.
+          worker: Name of the worker.
+          ratio: Latency of its slowest service, as a multiple of that
+            service's latency without jobs.
           measured_at: Monotonic time of the measurement.
           now: Monotonic time.
           neighbours: The jobs on the worker.
-          limits: When to act.
+          limits: Control thresholds.
         """
         state = self._states.setdefault(worker, _State())
         if measured_at < state.changed_at + limits.settle_seconds:
@@ -177,14 +199,14 @@
             return self._restrict(state, ratio, now, neighbours, limits)
         state.high_count = 0
         state.full_since = None
-        if math.log(ratio) > _get_aim(limits):
+        if math.log(ratio) > _get_target(limits):
             state.low_since = None
         if ratio >= limits.low:
             return []
         return self._relax(state, ratio, now, neighbours, limits)
 
     def forget(self, worker: str) -> None:
-        """Drops what is remembered of a worker."""
+        """Discards the control state of a worker."""
         self._states.pop(worker, None)
 
     def _restrict(
@@ -197,26 +219,26 @@
     ) -> list[ThrottleAction | EvictAction]:
         state.low_since = None
         state.high_count += 1
-        able = [n for n in neighbours if n.effect >= MIN_EFFECT]
-        if state.high_count < CONFIRMATIONS or not able:
+        candidates = [n for n in neighbours if n.effect >= MIN_EFFECT]
+        if state.high_count < CONFIRMATIONS or not candidates:
             return []
-        wanted = math.log(ratio) - _get_aim(limits)
-        throttles = _share_out(wanted, able)
+        excess = math.log(ratio) - _get_target(limits)
+        throttles = _reduce_shares(excess, candidates)
         if throttles:
             state.full_since = None
             relapse = now - state.relaxed_at < RELAPSE_SECONDS
-            doubled = min(2 * state.calm_seconds, LONGEST_CALM_SECONDS)
+            doubled = min(2 * state.calm_seconds, MAX_CALM_SECONDS)
             state.calm_seconds = doubled if relapse else CALM_SECONDS
-            self._change(state, now)
+            self._record_change(state, now)
             return [*throttles]
         if state.full_since is None:
             state.full_since = now
-        if now - state.full_since < limits.patience_seconds:
+        if now - state.full_since < limits.full_throttle_seconds:
             return []
         if not self._try_spend():
             return []
-        worst = max(able, key=lambda n: (n.effect * n.share, -n.cost))
-        self._change(state, now)
+        worst = max(candidates, key=lambda n: (n.effect * n.share, -n.cost))
+        self._record_change(state, now)
         return [EvictAction(worst.task, worst.attempt)]
 
     def _relax(
@@ -235,38 +257,45 @@
             state.low_since = now
         if now - state.low_since < state.calm_seconds:
             return []
-        throttles = _give_back(_get_aim(limits) - math.log(ratio), throttled)
+        throttles = _raise_shares(
+            _get_target(limits) - math.log(ratio), throttled
+        )
         if throttles:
             state.low_since = None
             state.relaxed_at = now
-            self._change(state, now)
+            self._record_change(state, now)
         return [*throttles]
 
-    def _change(self, state: _State, now: float) -> None:
+    def _record_change(self, state: _State, now: float) -> None:
         state.changed_at = now
         state.high_count = 0
 
 
-def _get_aim(limits: Limits) -> float:
-    """Returns the logarithm of the ratio that a change aims at."""
+def _get_target(limits: Limits) -> float:
+    """Returns the logarithm of the target ratio of a change."""
     return (math.log(limits.low) + math.log(limits.high)) / 2
 
 
-def _share_out(
-    wanted: float, neighbours: Sequence[Neighbour]
+def _reduce_shares(
+    excess: float, neighbours: Sequence[Neighbour]
 ) -> list[ThrottleAction]:
-    """Throttles the worst jobs until enough of the slowdown should be gone."""
+    """Throttles jobs, worst first, to reduce the slowdown.
+
+    Args:
+      excess: Logarithm of the slowdown to remove.
+      neighbours: The jobs that may be throttled.
+    """
     throttles = []
     for neighbour in sorted(
         neighbours, key=lambda n: n.effect * n.share, reverse=True
     ):
-        if wanted <= 0:
+        if excess <= 0:
             break
         spare = neighbour.share - MIN_SHARE
         if spare < MIN_CHANGE:
             continue
-        cut = min(spare, max(wanted / neighbour.effect, MIN_CHANGE))
-        wanted -= cut * neighbour.effect
+        cut = min(spare, max(excess / neighbour.effect, MIN_CHANGE))
+        excess -= cut * neighbour.effect
         share = round(neighbour.share - cut, 3)
         throttles.append(
             ThrottleAction(neighbour.task, neighbour.attempt, share)
@@ -274,19 +303,24 @@
     return throttles
 
 
-def _give_back(
-    room: float, throttled: Sequence[Neighbour]
+def _raise_shares(
+    headroom: float, throttled: Sequence[Neighbour]
 ) -> list[ThrottleAction]:
-    """Gives the quietest jobs processors back while it should do no harm."""
+    """Relaxes throttles, least harmful jobs first.
+
+    Args:
+      headroom: Logarithm of the additional slowdown that is allowed.
+      throttled: The jobs that are throttled.
+    """
     throttles = []
     for neighbour in sorted(throttled, key=lambda n: n.effect):
         effect = max(neighbour.effect, MIN_EFFECT)
-        most = max(MIN_CHANGE, RELAX_FACTOR * neighbour.share)
-        more = min(1.0 - neighbour.share, most, room / effect)
-        if more < min(MIN_CHANGE, 1.0 - neighbour.share):
+        max_increase = max(MIN_CHANGE, RELAX_FACTOR * neighbour.share)
+        increase = min(1.0 - neighbour.share, max_increase, headroom / effect)
+        if increase < min(MIN_CHANGE, 1.0 - neighbour.share):
             break
-        room -= more * effect
-        share = round(neighbour.share + more, 3)
+        headroom -= increase * effect
+        share = round(neighbour.share + increase, 3)
         throttles.append(
             ThrottleAction(neighbour.task, neighbour.attempt, share)
         )
--- a/lentilmount/batch/learning.py
+++ b/lentilmount/batch/learning.py
@@ -1,4 +1,4 @@
-"""What jobs of a class really take, learned from lagging measurements."""
+"""Learns the actual sizes and run times of job classes from measurements."""
 
 from __future__ import annotations
 
@@ -11,51 +11,59 @@
 from lentilmount.resources import Demand
 from lentilmount.upstream.workers import Usage
 
-WINDOW = 64
-"""Finished attempts of a class that are remembered; older ones go."""
+WINDOW_ATTEMPTS = 64
+"""Number of finished attempts kept for each class."""
 
-ENOUGH = 8
-"""Finished attempts before a class's declared sizes are put aside."""
+MIN_ATTEMPTS = 8
+"""Finished attempts needed before learned sizes replace declared ones."""
 
-CLASSES_KEPT = 512
+MAX_CLASSES = 512
 SIZE_QUANTILE = 0.95
 MARGIN = 1.15
-"""What is committed over the quantile; more is enforced by the worker."""
+"""Factor on the quantile for the commitment; the worker enforces the result."""
 
 MIN_CORES = 0.25
 MIN_MEMORY_MB = 128
-SATURATED = 0.95
+SATURATED_SHARE = 0.95
+"""Share of a reduced commitment above which the true need is unknown."""
+
 MIN_REPORTS = 3
-"""Measurements of an attempt before its sizes count."""
+"""Measurements of an attempt needed before its sizes are used."""
 
 
 def get_class_name(task: Task) -> str:
-    """Returns the name that a task's class is learned under."""
-    # What runs beside what is kept for each worker over time: a text of its
-    # own in each entry took a MiB for 725 tasks.
+    """Returns the name of a task's class, unique across teams."""
+    # The history of each worker holds these names; without interning, the
+    # copies took one MiB for 725 tasks.
     return sys.intern(f'{task.team}/{task.job_class}')
 
 
 @attrs.define
 class Quantiles:
-    """Quantiles of the last measurements."""
+    """Quantiles over a sliding window of measurements."""
 
     window: collections.deque[float] = attrs.Factory(
-        lambda: collections.deque(maxlen=WINDOW)
+        lambda: collections.deque(maxlen=WINDOW_ATTEMPTS)
     )
 
     def add(self, value: float) -> None:
         """Adds a measurement."""
         self.window.append(value)
 
-    def get(self, share: float) -> float:
-        """Returns a quantile of what is remembered."""
+    def get(self, quantile: float) -> float:
+        """Returns a quantile of the window.
+
+        Args:
+          quantile: The quantile, from 0 to 1.
+        """
         ordered = sorted(self.window)
-        return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
 @attrs.define
-class _Class:
+class _ClassModel:
+    """Learned sizes and run times of one job class."""
+
     cores: Quantiles = attrs.Factory(Quantiles)
     memory: Quantiles = attrs.Factory(Quantiles)
     seconds: Quantiles = attrs.Factory(Quantiles)
@@ -64,6 +72,15 @@
 
 @attrs.define
 class _Peak:
+    """Maximum usage measured for one attempt.
+
+    Attributes:
+      cores: Cores, scaled up to an unthrottled job.
+      memory_mb: Memory in MiB.
+      reports: Number of measurements.
+      saturated: Whether it may have needed more cores than it got.
+    """
+
     cores: float = 0.0
     memory_mb: int = 0
     reports: int = 0
@@ -71,37 +88,42 @@
 
 
 class SizeLearner:
-    """Sizes and run times by job class.
+    """Learned sizes and run times by job class.
 
-    Nothing of it is stored: a new owner begins with the declared sizes, which
-    are what operators asked for, and knows better after `ENOUGH` attempts.
+    Held in memory only: a new owner begins with the declared sizes and uses
+    learned ones after `MIN_ATTEMPTS` attempts.
     """
 
     def __init__(self) -> None:
-        self._classes: collections.OrderedDict[str, _Class] = (
+        self._classes: collections.OrderedDict[str, _ClassModel] = (
             collections.OrderedDict()
         )
         self._peaks: dict[tuple[str, int], _Peak] = {}
 
     def observe(self, task: Task, usage: Usage, throttle: float) -> None:
-        """Takes in a measurement of a job.
+        """Records a measurement of a job.
 
         Args:
           task: The job.
           usage: The measurement.
-          throttle: Share of its commitment that it was allowed.
+          throttle: Share of its committed cores that it was allowed to use.
         """
         peak = self._peaks.setdefault((usage.task, usage.attempt), _Peak())
         cores = usage.cores / throttle
-        # What uses all of a commitment that was cut might have used more.
-        if task.share < 1 and cores > SATURATED * task.demand.cores:
+        # An attempt that uses all of a reduced commitment may need more.
+        if task.share < 1 and cores > SATURATED_SHARE * task.demand.cores:
             peak.saturated = True
         peak.cores = max(peak.cores, cores)
         peak.memory_mb = max(peak.memory_mb, usage.memory_mb)
         peak.reports += 1
 
     def record_completion(self, task: Task, seconds: float) -> None:
-        """Takes in that an attempt completed after some seconds."""
+        """Records the sizes and run time of an attempt that completed.
+
+        Args:
+          task: The job.
+          seconds: Its run time.
+        """
         peak = self._peaks.pop((task.id, task.attempt), None)
         model = self._get(get_class_name(task))
         model.seconds.add(seconds)
@@ -112,19 +134,19 @@
             model.size = None
 
     def forget(self, task: Task) -> None:
-        """Drops the measurements of an attempt that did not complete."""
+        """Discards the measurements of an attempt that did not complete."""
         self._peaks.pop((task.id, task.attempt), None)
 
     def is_known(self, task: Task) -> bool:
-        """Tells whether the sizes of a job's class are known."""
+        """Returns whether the sizes of a job's class are known."""
         model = self._classes.get(get_class_name(task))
-        return model is not None and len(model.cores.window) >= ENOUGH
+        return model is not None and len(model.cores.window) >= MIN_ATTEMPTS
 
     def get_demand(self, task: Task, declared: Demand) -> Demand:
-        """Returns what to commit for a job: learned, or as declared.
+        """Returns the demand to commit for a job: learned, or as declared.
 
-        Memory beyond the commitment ends an attempt, so all that was seen
-        counts; processors are shared out, so a high quantile does.
+        An attempt that exceeds its memory is killed, so the maximum counts;
+        exceeding its cores only slows it down, so a high quantile suffices.
         """
         model = self._classes.get(get_class_name(task))
         if model is None or not self.is_known(task):
@@ -138,16 +160,21 @@
             )
         return attrs.evolve(model.size, accelerators=declared.accelerators)
 
-    def get_seconds(self, task: Task, share: float = 0.9) -> float:
-        """Returns a quantile of the run time: learned, or as declared."""
+    def get_seconds(self, task: Task, quantile: float = 0.9) -> float:
+        """Returns a quantile of a job's run time, or the declared run time.
+
+        Args:
+          task: The job.
+          quantile: The quantile, from 0 to 1.
+        """
         model = self._classes.get(get_class_name(task))
-        if model is None or len(model.seconds.window) < ENOUGH:
+        if model is None or len(model.seconds.window) < MIN_ATTEMPTS:
             return task.expected_seconds
-        return model.seconds.get(share)
+        return model.seconds.get(quantile)
 
-    def _get(self, name: str) -> _Class:
-        model = self._classes.setdefault(name, _Class())
+    def _get(self, name: str) -> _ClassModel:
+        model = self._classes.setdefault(name, _ClassModel())
         self._classes.move_to_end(name)
-        if len(self._classes) > CLASSES_KEPT:
+        if len(self._classes) > MAX_CLASSES:
             self._classes.popitem(last=False)
         return model
--- a/lentilmount/batch/occupancy.py
+++ b/lentilmount/batch/occupancy.py
@@ -1,4 +1,4 @@
-"""Which tasks are on which worker, now and a while ago."""
+"""Tracks the tasks on each worker, with a short history."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from lentilmount.resources import Phase
 
 HISTORY_SECONDS = 180.0
-"""Longer than measurements lag."""
+"""Time that the history covers; longer than the lag of measurements."""
 
 _Mix = dict[str, float]
-"""Jobs by class; a throttled one counts as its share."""
+"""Number of jobs by class; a throttled job counts as its share."""
 
 
 @attrs.define
-class _Held:
+class _TaskState:
     """A task on a worker.
 
     Attributes:
-      task: The task as last seen.
-      since: Monotonic time when it was first seen to run, or None.
-      throttle: Share of its commitment that it is allowed.
-      throttled_at: Monotonic time when this last changed.
+      task: Last known state of the task.
+      running_since: Monotonic time when it was first observed running, or None.
+      throttle: Share of its committed cores that it may use.
+      throttled_at: Monotonic time of the last change of the throttle.
     """
 
     task: Task
-    since: float | None = None
+    running_since: float | None = None
     throttle: float = 1.0
     throttled_at: float = -math.inf
 
 
 class Occupancy:
-    """The tasks on each worker, their throttles, and how this changed."""
+    """The tasks on each worker, their throttles, and the history of jobs."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
-        # Dictionaries without values keep the order, and so each run alike.
+        self._states: dict[str, _TaskState] = {}
+        # Used as ordered sets, to make runs deterministic.
         self._by_worker: collections.defaultdict[str, dict[str, None]] = (
             collections.defaultdict(dict)
         )
@@ -51,50 +51,50 @@
         ] = collections.defaultdict(collections.deque)
 
     def update(self, task: Task, now: float) -> Task | None:
-        """Takes over a task's new state.
+        """Updates the state of a task.
 
         Returns:
-          The task as it was held so far, or None.
+          The previous state of the task on a worker, or None.
         """
-        old = self._held.get(task.id)
+        old = self._states.get(task.id)
         if old is not None and (
             task.phase not in COMMITTED_PHASES
             or task.attempt != old.task.attempt
         ):
-            self._drop(old.task)
+            self._remove(old.task)
         if task.phase in COMMITTED_PHASES:
-            self._keep(task, now)
+            self._add(task, now)
         for worker in {task.worker, old.task.worker if old else ''}:
             if worker:
-                self._record(worker, now)
+                self._record_mix(worker, now)
         return old.task if old else None
 
-    def _drop(self, task: Task) -> None:
-        del self._held[task.id]
+    def _remove(self, task: Task) -> None:
+        del self._states[task.id]
         self._by_worker[task.worker].pop(task.id, None)
 
-    def _keep(self, task: Task, now: float) -> None:
-        held = self._held.setdefault(task.id, _Held(task))
-        held.task = task
-        if held.since is None and task.phase is Phase.RUNNING:
-            held.since = now
+    def _add(self, task: Task, now: float) -> None:
+        state = self._states.setdefault(task.id, _TaskState(task))
+        state.task = task
+        if state.running_since is None and task.phase is Phase.RUNNING:
+            state.running_since = now
         self._by_worker[task.worker][task.id] = None
 
     def get(self, task: str) -> Task | None:
         """Returns a task that is on a worker, or None."""
-        held = self._held.get(task)
-        return held.task if held else None
+        state = self._states.get(task)
+        return state.task if state else None
 
     def get_running_seconds(self, task: str, now: float) -> float:
-        """Returns for how long a task has run, as far as is known."""
-        held = self._held.get(task)
-        if held is None or held.since is None:
+        """Returns the seconds since a task was first observed running."""
+        state = self._states.get(task)
+        if state is None or state.running_since is None:
             return 0.0
-        return now - held.since
+        return now - state.running_since
 
     def list_tasks(self, worker: str) -> list[Task]:
         """Returns the tasks on a worker."""
-        return [self._held[name].task for name in self._by_worker[worker]]
+        return [self._states[name].task for name in self._by_worker[worker]]
 
     def list_evictable_jobs(self, worker: str) -> Iterator[Task]:
         """Yields the jobs on a worker that may be throttled or evicted."""
@@ -103,46 +103,54 @@
                 yield task
 
     def get_throttle(self, task: Task) -> float:
-        """Returns the share of its commitment that a job is allowed."""
-        held = self._held.get(task.id)
-        return held.throttle if held else 1.0
+        """Returns the share of its committed cores that a job may use."""
+        state = self._states.get(task.id)
+        return state.throttle if state else 1.0
 
     def get_throttled_at(self, task: Task) -> float:
         """Returns the monotonic time when a job's throttle last changed."""
-        held = self._held.get(task.id)
-        return held.throttled_at if held else -math.inf
+        state = self._states.get(task.id)
+        return state.throttled_at if state else -math.inf
 
     def get_share(self, task: Task) -> float:
-        """Returns the share of its full speed that a job is allowed."""
+        """Returns the share of its full demand of cores that a job may use."""
         return task.share * self.get_throttle(task)
 
     def set_throttle(self, task: Task, share: float, now: float) -> None:
-        """Takes note of a throttle."""
-        held = self._held[task.id]
-        held.throttle = share
-        held.throttled_at = now
-        self._record(task.worker, now)
+        """Records a throttle."""
+        state = self._states[task.id]
+        state.throttle = share
+        state.throttled_at = now
+        self._record_mix(task.worker, now)
 
     def list_throttled(self) -> list[tuple[Task, float]]:
-        """Returns the jobs that do not have all their processors."""
+        """Returns the throttled jobs with their throttles."""
         return [
-            (held.task, held.throttle)
-            for held in self._held.values()
-            if held.throttle < 1
+            (state.task, state.throttle)
+            for state in self._states.values()
+            if state.throttle < 1
         ]
 
     def get_mix(self, worker: str) -> Mapping[str, float]:
-        """Returns the jobs on a worker by class."""
+        """Returns the current number of jobs on a worker by class."""
         history = self._history[worker]
         return history[-1][1] if history else {}
 
     def get_mean_mix(
         self, worker: str, begin: float, end: float
     ) -> Mapping[str, float] | None:
-        """Returns the jobs on a worker over a past time, or None if unknown.
+        """Returns the mean number of jobs by class over a past interval.
 
-        A measurement that lags is explained by what ran when it was made and
-        not by what runs when it arrives.
+        A delayed measurement is explained by the jobs that ran when it was
+        taken and not by those that run when it arrives.
+
+        Args:
+          worker: Name of the worker.
+          begin: Monotonic time of the interval's begin.
+          end: Monotonic time of the interval's end.
+
+        Returns:
+          The mean, or None if the history does not cover the interval.
         """
         history = self._history[worker]
         if not history or history[0][0] > begin:
@@ -154,18 +162,18 @@
         for at, mix in reversed(history):
             if at >= until:
                 continue
-            part = (until - max(at, begin)) / (end - begin)
+            weight = (until - max(at, begin)) / (end - begin)
             for name, count in mix.items():
-                mean[name] += count * part
+                mean[name] += count * weight
             until = max(at, begin)
             if at <= begin:
                 break
         return mean
 
-    def _record(self, worker: str, now: float) -> None:
+    def _record_mix(self, worker: str, now: float) -> None:
         mix: _Mix = {}
         for name in self._by_worker[worker]:
-            task = self._held[name].task
+            task = self._states[name].task
             if task.is_service or task.phase is Phase.STARTING:
                 continue
             job_class = get_class_name(task)
@@ -180,7 +188,7 @@
 
 
 def is_evictable(task: Task) -> bool:
-    """Tells whether a task is a batch job that may be disturbed."""
+    """Returns whether a task is a batch job that may be evicted."""
     return (
         not task.is_service
         and task.urgency.value == 'batch'
--- a/lentilmount/batch/overruns.py
+++ b/lentilmount/batch/overruns.py
@@ -1,4 +1,4 @@
-"""Jobs that take more than was committed for them."""
+"""Detects jobs that use more resources than were committed for them."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 from lentilmount.upstream.workers import Usage
 
 TOLERANCE = 1.1
-"""Measurements above the commitment by less are taken for noise."""
+"""Ratio of usage to commitment up to which the excess counts as noise."""
 
 CONFIRMATIONS = 3
-PATIENCE_SECONDS = 60.0
-"""How long a job is throttled for its processors before it is moved."""
+"""Consecutive measurements above the tolerance needed to act."""
+
+RELOCATE_AFTER_SECONDS = 60.0
+"""Time that a job may exceed its cores, throttled, before it is relocated."""
 
 
 @attrs.define
 class _Overrun:
-    """An attempt that takes too much.
+    """An attempt that exceeds its commitment.
 
     Attributes:
-      since: Monotonic time of the first measurement.
-      count: Measurements in a row.
-      cores: Most processors measured, as if not throttled.
-      memory_mb: Most memory measured.
+      since: Monotonic time of the first measurement above the tolerance.
+      count: Consecutive measurements above the tolerance.
+      cores: Maximum cores measured, scaled up to an unthrottled job.
+      memory_mb: Maximum memory measured, in MiB.
     """
 
     since: float
@@ -37,11 +39,11 @@
 
 @attrs.frozen
 class OverrunAction:
-    """What an overrun calls for.
+    """Measures to take against an overrun.
 
     Attributes:
-      share: Share of the processors to leave to the job.
-      relocate: Whether it is to be placed anew with more.
+      share: Share of its cores that the job may use.
+      relocate: Whether to evict the job and place it again with more resources.
     """
 
     share: float
@@ -49,11 +51,12 @@
 
 
 class OverrunDetector:
-    """Throttles jobs that take too much, and has them moved.
+    """Decides whether to throttle or relocate jobs that use too much.
 
-    Processors can be taken away, so a job that wants more is throttled to
-    its commitment and moved only if it goes on wanting more. Memory cannot,
-    so the job is moved at once. The next attempt is given what was measured.
+    Cores can be limited, so a job that exceeds them is throttled to its
+    commitment, and relocated only if it keeps demanding more. Memory cannot
+    be limited, so the job is relocated at once. The next attempt is sized by
+    the measurements.
     """
 
     def __init__(self) -> None:
@@ -61,30 +64,30 @@
         self._needs: dict[str, Demand] = {}
 
     def get_need(self, task: Task) -> Demand | None:
-        """Returns what an earlier attempt was measured to need, or None."""
+        """Returns the measured demand of an earlier attempt, or None."""
         return self._needs.get(task.id)
 
     def forget(self, task: Task) -> None:
-        """Drops what is remembered of a task that is over."""
+        """Discards the measured demand of a task that has ended."""
         self._needs.pop(task.id, None)
 
     def forget_attempt(self, task: Task) -> None:
-        """Drops what is remembered of an attempt that is over."""
+        """Discards the overrun of an attempt that has ended."""
         self._overruns.pop((task.id, task.attempt), None)
 
     def evaluate(
         self, task: Task, usage: Usage, share: float, now: float
     ) -> OverrunAction | None:
-        """Judges one measurement of a job.
+        """Evaluates one measurement of a job.
 
         Args:
           task: The job.
           usage: The measurement.
-          share: Share of its processors that it was allowed.
+          share: Share of its cores that it was allowed to use.
           now: Monotonic time.
 
         Returns:
-          What is to be done, or None if the job takes what it may.
+          The measures to take, or None if there are none.
         """
         key = (task.id, task.attempt)
         cores = usage.cores / share
@@ -99,16 +102,16 @@
         overrun.memory_mb = max(overrun.memory_mb, usage.memory_mb)
         if overrun.count < CONFIRMATIONS:
             return None
-        patient = now - overrun.since < PATIENCE_SECONDS
-        relocate = over_memory or not patient
+        may_wait = now - overrun.since < RELOCATE_AFTER_SECONDS
+        relocate = over_memory or not may_wait
         if relocate:
-            self._needs[task.id] = _grow(task.demand, overrun)
+            self._needs[task.id] = _enlarge(task.demand, overrun)
         return OverrunAction(
             max(MIN_SHARE, task.demand.cores / cores), relocate
         )
 
 
-def _grow(demand: Demand, overrun: _Overrun) -> Demand:
+def _enlarge(demand: Demand, overrun: _Overrun) -> Demand:
     return Demand(
         max(demand.cores, round(overrun.cores * MARGIN, 2)),
         max(demand.memory_mb, int(overrun.memory_mb * MARGIN)),
--- a/tests/test_interference_control.py
+++ b/tests/test_interference_control.py
@@ -1,4 +1,4 @@
-"""Steering: what keeps batch work off a worker, and what must not."""
+"""Tests of which services keep batch jobs off a worker."""
 
 import attrs
 
@@ -23,7 +23,7 @@
 
 @attrs.define
 class FakeLink:
-    """A link whose report a test sets."""
+    """A session with usage reports set by the test."""
 
     name: str = 'w'
     reachable: bool = True
@@ -44,7 +44,7 @@
 
 
 def count_admitted(p99_ms: float, load: float) -> int:
-    """Returns how many jobs of unknown classes a worker would take."""
+    """Returns the number of jobs of unknown classes that a worker accepts."""
     occupancy = Occupancy()
     sizes = SizeLearner()
     steering = InterferenceController(
@@ -62,10 +62,10 @@
     return MANY
 
 
-def test_an_idle_service_does_not_keep_batch_away() -> None:
-    """Doubt about unknown pairs kept batch off an idle worker."""
+def test_an_idle_service_does_not_keep_batch_jobs_away() -> None:
+    """The margin for unknown pairs kept jobs off an idle worker."""
     assert count_admitted(p99_ms=0.0, load=0.0) == MANY
 
 
-def test_a_busy_service_takes_few_unknown_jobs_at_once() -> None:
+def test_a_busy_service_limits_jobs_of_unknown_classes() -> None:
     assert 0 < count_admitted(p99_ms=10.0, load=0.6) < MANY
