--- a/lentilmount/batch/policy.py
+++ b/lentilmount/batch/policy.py
@@ -1,8 +1,8 @@
-"""The policy of one slice: what its owner asks in each round of work.
+"""Scheduling policy of one slice, called by its owner in each iteration.
 
-It keeps what it learns in memory. A new owner of the slice begins with what
-is safe: declared sizes, unknown interference, which is taken for bad, no
-evictions to spend, and quarantines that begin anew.
+Learned data is held in memory only. A new owner starts from safe values:
+declared sizes, unknown interference (assumed to be harmful), an empty
+eviction budget, and quarantines that start over.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from lentilmount.resources import FINAL_PHASES, Demand, Phase, Room
 from lentilmount.upstream.workers import Action, Command
 
-JUDGE_SECONDS = 5.0
-"""Between two looks for pending jobs that can never run."""
+INFEASIBLE_CHECK_SECONDS = 5.0
+"""Time between two searches for pending jobs that can never run."""
 
 
 @attrs.define
 class Plan:
-    """What is to be written down.
+    """Changes that the policy asks the owner to write.
 
     Attributes:
-      evictions: Jobs to evict.
-      records: Workers whose quarantine begins or ends.
+      evictions: Jobs to action.
+      records: Worker records whose quarantine begins or ends.
     """
 
     evictions: list[EvictAction] = attrs.Factory(list)
@@ -52,28 +52,28 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether something is still to be written."""
+        """Whether some changes are still to be written."""
         return bool(self.evictions or self.records)
 
 
 class ObservedRows(SliceRows, Protocol):
-    """The rows of a slice, whose changes can be followed."""
+    """The rows of a slice, with callbacks on changes."""
 
     @property
     def observers(self) -> list[Callable[[Task], None]]:
-        """Called with each task as a transaction left it."""
+        """Callbacks for the new state of each task after a transaction."""
 
 
 class Policy:
-    """Decides for one slice; the owner carries out.
+    """Makes the scheduling decisions of one slice; its owner writes them.
 
     Args:
       ledger: The slice's rows, loaded.
-      sessions: The links to its workers, by name.
-      configuration: Teams, and how the deployment weighs things.
-      slices: How many slices share the quotas.
-      monotonic: The clock for durations.
-      wall: The clock on which tasks were accepted.
+      sessions: The sessions with its workers, by name.
+      configuration: Teams and the deployment's weights.
+      slices: Number of slices that share the quotas.
+      monotonic: Clock for durations.
+      wall: Clock of the task acceptance times.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.overruns = OverrunDetector()
         self.quarantine = Quarantine()
         self.sizes = SizeLearner()
-        self.steering = InterferenceController(
+        self.interference = InterferenceController(
             self.occupancy,
             self.sizes,
             self.overruns,
@@ -110,46 +110,46 @@
             self.fair,
             self.budget,
             self.quarantine,
-            self.steering.make_cost,
-            self.note,
-            lambda task, name: self.steering.limit_cores(
+            self.interference.make_cost,
+            self.update_task,
+            lambda task, name: self.interference.limit_cores(
                 task, name, monotonic()
             ),
         )
-        self._judge_at = 0.0
+        self._next_check_at = 0.0
         self._inherited = [
             task
             for task in ledger.tasks.values()
             if _is_job(task) and task.phase in COMMITTED_PHASES
         ]
         for task in ledger.tasks.values():
-            self.note(task)
-        ledger.observers.append(self.note)
+            self.update_task(task)
+        ledger.observers.append(self.update_task)
 
-    def note(self, task: Task) -> None:
-        """Takes over a task's new state; once or more, it is the same."""
+    def update_task(self, task: Task) -> None:
+        """Updates the policy from a task's new state; idempotent."""
         now = self._monotonic()
         seconds = self.occupancy.get_running_seconds(task.id, now)
         old = self.occupancy.update(task, now)
         if old is not None and old.attempt != task.attempt:
-            self._end(old, task, 0.0)
+            self._end_attempt(old, task, 0.0)
             old = None
         if old is None and task.phase in COMMITTED_PHASES:
             if _is_job(task):
                 self.fair.add_job(task)
-                self.steering.apply_initial_throttle(task, now)
-            self.steering.invalidate(task.worker)
+                self.interference.apply_initial_throttle(task, now)
+            self.interference.invalidate(task.worker)
         elif old is not None and task.phase not in COMMITTED_PHASES:
-            self._end(old, task, seconds)
+            self._end_attempt(old, task, seconds)
         elif old is not None and old.phase is not task.phase:
-            self.steering.invalidate(task.worker)
+            self.interference.invalidate(task.worker)
         if task.phase in FINAL_PHASES:
             self.overruns.forget(task)
         self.scheduler.queue.update(task, now)
 
-    def _end(self, old: Task, task: Task, seconds: float) -> None:
-        self.steering.invalidate(old.worker)
-        self.steering.forget(old.id)
+    def _end_attempt(self, old: Task, task: Task, seconds: float) -> None:
+        self.interference.invalidate(old.worker)
+        self.interference.forget(old.id)
         self.overruns.forget_attempt(old)
         if not _is_job(old):
             return
@@ -161,7 +161,7 @@
         self.sizes.forget(old)
 
     def handle_failure(self, task: Task, worker: str) -> bool:
-        """Takes in that an attempt failed; tells whether to give the job up."""
+        """Records a failed attempt; returns whether to give the job up."""
         self.quarantine.record_failure(task, worker)
         failed_on = (*task.failed_on, worker)
         return not task.is_service and self.quarantine.should_give_up(
@@ -169,11 +169,11 @@
         )
 
     def explain_refusal(self, task: Task, shapes: list[Room]) -> str | None:
-        """Says why a job can never run, or returns None.
+        """Returns why a job can never run, or None.
 
         Args:
           task: The job.
-          shapes: What workers have in all, wherever the job might go.
+          shapes: Capacities of all workers that the job may be placed on.
         """
         return self._explain(task.team, task.declared or task.demand, shapes)
 
@@ -186,17 +186,17 @@
     def list_infeasible(
         self, list_shapes: Callable[[str], list[Room]]
     ) -> list[tuple[str, str]]:
-        """Returns pending jobs that can never run, and why.
+        """Returns the ids of pending jobs that can never run, and why.
 
         Args:
-          list_shapes: Returns all shapes of worker in a zone, or nothing
-            while some are not known.
+          list_shapes: Returns the capacities of all workers in a zone, or
+            none while some are unknown.
         """
         infeasible: list[tuple[str, str]] = []
         now = self._monotonic()
-        if now < self._judge_at:
+        if now < self._next_check_at:
             return infeasible
-        self._judge_at = now + JUDGE_SECONDS
+        self._next_check_at = now + INFEASIBLE_CHECK_SECONDS
         for group in self.scheduler.queue.list_groups():
             if group.tier == SERVICES:
                 continue
@@ -208,37 +208,37 @@
         return infeasible
 
     def plan(self) -> Plan:
-        """Takes in what was measured, throttles, and plans evictions."""
+        """Processes new measurements, sends throttles and plans evictions."""
         now = self._monotonic()
         weights = self._configuration.get_weights()
-        self.steering.set_weights(weights)
+        self.interference.set_weights(weights)
         self.budget.set_rate(weights.evictions_per_hour, now)
-        self._free_inherited()
+        self._reset_inherited_throttles()
         plan = Plan()
         for session in self._sessions.values():
             if session.reachable:
-                plan.evictions += self.steering.process_usage(session, now)
-        self.steering.resend(self._sessions, now)
+                plan.evictions += self.interference.process_usage(session, now)
+        self.interference.resend(self._sessions, now)
         plan.records = self.quarantine.review(self._ledger.workers, now)
         return plan
 
-    def _free_inherited(self) -> None:
-        # A former owner may have throttled jobs, and nobody knows any more
-        # how far: left alone they would crawl to their ends.
-        waiting = []
+    def _reset_inherited_throttles(self) -> None:
+        # The previous owner may have throttled jobs, and its throttles are
+        # not stored: without a reset those jobs would stay slow to their end.
+        pending = []
         for task in self._inherited:
             session = self._sessions.get(task.worker)
             if session is None or not session.reachable:
-                waiting.append(task)
+                pending.append(task)
                 continue
             session.send(Command(Action.THROTTLE, task.id, task.attempt))
-        self._inherited = waiting
+        self._inherited = pending
 
     def apply_plan(self, draft: Draft, plan: Plan) -> set[str]:
-        """Writes as much of a plan as fits, and takes it off the plan.
+        """Writes as much of a plan as fits, and removes it from the plan.
 
         Returns:
-          The workers whose links have news.
+          Names of the workers whose sessions have commands to send.
         """
         workers = set()
         while plan.records and not draft.is_full:
@@ -248,24 +248,26 @@
                 attrs.evolve(current, quarantined=record.quarantined)
             )
         while plan.evictions and not draft.is_full:
-            evict = plan.evictions.pop()
-            task = draft.get_task(evict.task)
-            if task is None or task.attempt != evict.attempt:
+            action = plan.evictions.pop()
+            task = draft.get_task(action.task)
+            if task is None or task.attempt != action.attempt:
                 continue
             if task.phase in (Phase.STARTING, Phase.RUNNING):
-                draft.transition(task, Transition.EVICT, reason=evict.reason)
+                draft.transition(task, Transition.EVICT, reason=action.reason)
                 workers.add(task.worker)
         return workers
 
     @property
     def has_urgent(self) -> bool:
-        """Whether something waits that does not give way to batch."""
+        """Whether services or urgent jobs are pending."""
         return self.scheduler.queue.has_urgent
 
     def place(self, draft: Draft) -> PlacementResult:
-        """Places what is pending, as much as fits in one transaction."""
+        """Places as many pending tasks as fit into one transaction."""
         reachable = [
-            n for n, session in self._sessions.items() if session.reachable
+            name
+            for name, session in self._sessions.items()
+            if session.reachable
         ]
         records = {**self._ledger.workers, **draft.workers}
         now = self._monotonic()
@@ -273,7 +275,7 @@
         return self.scheduler.place(draft, now, self._wall())
 
     def explain(self, task: Task) -> str:
-        """Says why a pending task waits."""
+        """Returns why a task is still pending."""
         return self.scheduler.explain(task)
 
 
--- a/lentilmount/batch/quarantine.py
+++ b/lentilmount/batch/quarantine.py
@@ -1,4 +1,4 @@
-"""Telling workers that fail everything from jobs that fail everywhere."""
+"""Quarantines faulty workers, and detects jobs that fail on any worker."""
 
 from __future__ import annotations
 
@@ -9,89 +9,95 @@
 
 from lentilmount.batch.records import Task, WorkerRecord
 
-FAILURES_OF_WORKER = 3
-"""Different jobs that fail in a row on a worker which is at fault."""
+WORKER_FAILURE_LIMIT = 3
+"""Different jobs that fail in a row before a worker is quarantined."""
 
-FAILURES_OF_JOB = 3
-"""Sound workers on which a job fails that is at fault itself."""
+JOB_FAILURE_LIMIT = 3
+"""Sound workers on which a job fails before it is given up."""
 
-FAILURES_IN_ALL = 12
-"""Failures after which a job is given up whatever the workers are."""
+TOTAL_FAILURE_LIMIT = 12
+"""Failures after which a job is given up, whatever the state of the workers."""
 
-WORKERS_OF_CLASS = 3
-"""Workers on which a class fails in a row before the class is suspect."""
+CLASS_FAILURE_LIMIT = 3
+"""Sound workers on which a job class fails before the class is suspect."""
 
-MOST_QUARANTINED = 0.2
-"""Share of a slice's workers; beyond it something else must be at fault."""
+MAX_QUARANTINED_SHARE = 0.2
+"""Maximum share of a slice's workers in quarantine.
 
-PROBATION_SECONDS = 60.0
-LONGEST_SECONDS = 3600.0
+If more workers fail, the cause is probably not the workers.
+"""
+
+QUARANTINE_SECONDS = 60.0
+"""Duration of a worker's first quarantine; doubled for each further one."""
+
+MAX_QUARANTINE_SECONDS = 3600.0
 
 
 @attrs.define
-class _Worker:
-    """What is remembered of a worker.
+class _WorkerState:
+    """Failure state of a worker.
 
     Attributes:
-      failures: Classes of jobs that failed since the last success, by job.
-      until: When a quarantine ends and probation begins.
-      seconds: Length of the next quarantine.
-      probation: Whether it may hold one job at a time only.
+      failures: Classes of the jobs failed since the last success, by job.
+      quarantined_until: Monotonic time when the quarantine ends and probation
+        begins.
+      quarantine_seconds: Duration of the next quarantine.
+      on_probation: Whether the worker may hold only one task at a time.
     """
 
     failures: dict[str, str] = attrs.Factory(dict)
-    until: float = 0.0
-    seconds: float = PROBATION_SECONDS
-    probation: bool = False
+    quarantined_until: float = 0.0
+    quarantine_seconds: float = QUARANTINE_SECONDS
+    on_probation: bool = False
 
 
 class Quarantine:
-    """Evidence against workers and against classes of jobs.
+    """Attributes failures to workers or to jobs, and decides on quarantines.
 
-    A failure counts against a worker unless the job's class fails wherever it
-    goes, and against a job unless the worker fails other jobs too. Whether a
-    worker is quarantined is stored in its row; the evidence is not: a new
-    owner begins the quarantine's time anew, which is the safe side.
+    A failure counts against a worker unless the job's class fails on all
+    workers, and against a job unless the worker fails other jobs too. The
+    worker's row stores whether it is quarantined, but not the failures: a new
+    owner restarts the quarantine time, which is the safe choice.
     """
 
     def __init__(self) -> None:
-        self._workers: collections.defaultdict[str, _Worker] = (
-            collections.defaultdict(_Worker)
+        self._workers: collections.defaultdict[str, _WorkerState] = (
+            collections.defaultdict(_WorkerState)
         )
         self._classes: collections.defaultdict[str, set[str]] = (
             collections.defaultdict(set)
         )
 
     def record_failure(self, task: Task, worker: str) -> None:
-        """Takes in that a job failed on a worker."""
-        self._workers[worker].failures[task.resource] = _name(task)
-        self._classes[_name(task)].add(worker)
+        """Records that a job failed on a worker."""
+        self._workers[worker].failures[task.resource] = _get_class_name(task)
+        self._classes[_get_class_name(task)].add(worker)
 
     def record_success(self, task: Task, worker: str) -> None:
-        """Takes in that a job completed on a worker."""
-        self._classes.pop(_name(task), None)
+        """Records that a job completed on a worker."""
+        self._classes.pop(_get_class_name(task), None)
         state = self._workers[worker]
         state.failures.clear()
-        if state.probation:
-            state.probation = False
-            state.seconds = PROBATION_SECONDS
+        if state.on_probation:
+            state.on_probation = False
+            state.quarantine_seconds = QUARANTINE_SECONDS
 
     def is_class_suspect(self, name: str) -> bool:
-        """Tells whether a class failed on several workers in a row."""
+        """Returns whether a class failed on several sound workers in a row."""
         sound = [
             worker
             for worker in self._classes.get(name, ())
             if not self._fails_other_classes(worker, name)
         ]
-        return len(sound) >= WORKERS_OF_CLASS
+        return len(sound) >= CLASS_FAILURE_LIMIT
 
     def _fails_other_classes(self, worker: str, name: str) -> bool:
         return any(
             other != name for other in self._workers[worker].failures.values()
         )
 
-    def count_against(self, worker: str) -> int:
-        """Counts the different jobs that speak against a worker."""
+    def count_failures(self, worker: str) -> int:
+        """Returns the number of failed jobs that count against a worker."""
         return sum(
             not self.is_class_suspect(name)
             for name in self._workers[worker].failures.values()
@@ -100,66 +106,85 @@
     def should_give_up(
         self, task: Task, failed_on: tuple[str, ...], workers: int
     ) -> bool:
-        """Tells whether a job is at fault itself and is to be given up.
+        """Returns whether a job itself is faulty and should be given up.
 
         Args:
           task: The job.
-          failed_on: Workers on which it failed, the last one included.
-          workers: How many workers there are to try.
+          failed_on: Workers on which it failed, including the last one.
+          workers: Number of workers in the slice.
         """
-        if len(failed_on) >= FAILURES_IN_ALL:
+        if len(failed_on) >= TOTAL_FAILURE_LIMIT:
             return True
-        witnesses = {
+        sound_workers = {
             worker
             for worker in failed_on
             if set(self._workers[worker].failures) <= {task.resource}
-            or self.is_class_suspect(_name(task))
+            or self.is_class_suspect(_get_class_name(task))
         }
-        return len(witnesses) >= min(FAILURES_OF_JOB, workers)
+        return len(sound_workers) >= min(JOB_FAILURE_LIMIT, workers)
 
     def is_on_probation(self, worker: str) -> bool:
-        """Tells whether a worker may hold one job only."""
-        return self._workers[worker].probation
+        """Returns whether a worker may hold only one task at a time."""
+        return self._workers[worker].on_probation
 
     def review(
         self, records: Mapping[str, WorkerRecord], now: float
     ) -> list[WorkerRecord]:
-        """Returns the records whose quarantine begins or ends."""
+        """Returns updated records of workers whose quarantine begins or ends.
+
+        Args:
+          records: All worker records of the slice by name.
+          now: Monotonic time.
+        """
         changed = []
-        held = sum(bool(r.quarantined) for r in records.values())
-        most = max(1, int(MOST_QUARANTINED * len(records)))
+        quarantined_count = sum(bool(r.quarantined) for r in records.values())
+        max_quarantined = max(1, int(MAX_QUARANTINED_SHARE * len(records)))
         for record in records.values():
             state = self._workers[record.name]
-            against = self.count_against(record.name)
+            failure_count = self.count_failures(record.name)
             if record.quarantined:
-                if not state.until:
-                    state.until = now + state.seconds
-                elif now >= state.until:
-                    changed.append(self._try_again(record, state))
-                    held -= 1
+                if not state.quarantined_until:
+                    state.quarantined_until = now + state.quarantine_seconds
+                elif now >= state.quarantined_until:
+                    changed.append(self._start_probation(record, state))
+                    quarantined_count -= 1
                 continue
-            enough = 1 if state.probation else FAILURES_OF_WORKER
-            if against >= enough and held < most:
-                changed.append(self._shut_off(record, state, against, now))
-                held += 1
+            threshold = 1 if state.on_probation else WORKER_FAILURE_LIMIT
+            if (
+                failure_count >= threshold
+                and quarantined_count < max_quarantined
+            ):
+                changed.append(
+                    self._start_quarantine(record, state, failure_count, now)
+                )
+                quarantined_count += 1
         return changed
 
-    def _try_again(self, record: WorkerRecord, state: _Worker) -> WorkerRecord:
-        state.until = 0.0
-        state.probation = True
+    def _start_probation(
+        self, record: WorkerRecord, state: _WorkerState
+    ) -> WorkerRecord:
+        state.quarantined_until = 0.0
+        state.on_probation = True
         state.failures.clear()
         return attrs.evolve(record, quarantined='')
 
-    def _shut_off(
-        self, record: WorkerRecord, state: _Worker, against: int, now: float
+    def _start_quarantine(
+        self,
+        record: WorkerRecord,
+        state: _WorkerState,
+        failure_count: int,
+        now: float,
     ) -> WorkerRecord:
-        state.until = now + state.seconds
-        state.seconds = min(2 * state.seconds, LONGEST_SECONDS)
-        state.probation = False
+        state.quarantined_until = now + state.quarantine_seconds
+        state.quarantine_seconds = min(
+            2 * state.quarantine_seconds, MAX_QUARANTINE_SECONDS
+        )
+        state.on_probation = False
         return attrs.evolve(
-            record, quarantined=f'failed {against} different jobs in a row'
+            record,
+            quarantined=f'failed {failure_count} different jobs in a row',
         )
 
 
-def _name(task: Task) -> str:
+def _get_class_name(task: Task) -> str:
     return f'{task.team}/{task.job_class}'
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy of a slice: order, quotas, preemption, quarantine, throttling."""
+"""Tests of the slice policy: order, quotas, preemption and interference."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 LIMITS = Limits(settle_seconds=0.0)
 
 
-class Bench:
-    """A policy on a slice in memory."""
+class PolicyBench:
+    """A policy with a slice in memory."""
 
     def __init__(self, workers: int, teams: dict[str, TeamSpec] | None = None):
         self.clock = ManualClock()
@@ -87,9 +87,9 @@
             draft = self.rows.begin()
         self.rows.apply(draft)
 
-    def move(self, task: str, move: Transition) -> None:
+    def apply(self, task: str, transition: Transition) -> None:
         draft = self.rows.begin()
-        draft.transition(self.rows.tasks[task], move)
+        draft.transition(self.rows.tasks[task], transition)
         self.rows.apply(draft)
 
     def list_phase(self, phase: Phase) -> list[str]:
@@ -111,7 +111,9 @@
     jobs: list[tuple[str, float, bool]],
 ) -> None:
     quota = Room(6.0, 5000, 0)
-    bench = Bench(4, {'a': TeamSpec(quota=quota), 'b': TeamSpec(quota=quota)})
+    bench = PolicyBench(
+        4, {'a': TeamSpec(quota=quota), 'b': TeamSpec(quota=quota)}
+    )
     for number, (team, cores, ends) in enumerate(jobs):
         bench.submit(f'job-{number}', team, cores)
         bench.clock.advance(6.0)
@@ -126,11 +128,11 @@
             assert sum(t.demand.memory_mb for t in held) <= quota.memory_mb
         starting = bench.list_phase(Phase.STARTING)
         if ends and starting:
-            bench.move(starting[0], Transition.FINISH)
+            bench.apply(starting[0], Transition.FINISH)
 
 
 def test_weights_divide_a_full_cluster() -> None:
-    bench = Bench(4, {'a': TeamSpec(weight=3.0), 'b': TeamSpec()})
+    bench = PolicyBench(4, {'a': TeamSpec(weight=3.0), 'b': TeamSpec()})
     for number in range(40):
         bench.submit(f'a-{number}', 'a')
         bench.submit(f'b-{number}', 'b')
@@ -140,10 +142,10 @@
     assert sum('/a/' in task for task in started) == 24
 
 
-def test_equal_tasks_that_fit_nowhere_cost_one_try(
+def test_equal_unplaceable_tasks_cost_one_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bench = Bench(2)
+    bench = PolicyBench(2)
     for number in range(3000):
         bench.submit(f'large-{number}', cores=8.5)
     tries = []
@@ -162,26 +164,26 @@
 
 
 def test_urgent_work_evicts_the_cheapest_batch() -> None:
-    """Eviction cost more than it had to, or its room went to batch."""
-    bench = Bench(1)
+    """Evicting a costlier job than needed, or giving its room to batch jobs."""
+    bench = PolicyBench(1)
     for number in range(8):
         bench.submit(f'old-{number}')
         bench.place()
-        bench.move(f'Job/t/old-{number}/0', Transition.STARTED)
+        bench.apply(f'Job/t/old-{number}/0', Transition.STARTED)
         bench.clock.advance(100.0)
     bench.submit('waiting')
     urgent = bench.submit('now', urgency=Urgency.URGENT)
     bench.place()
     assert bench.list_phase(Phase.EVICTING) == ['Job/t/old-7/0']
     assert bench.policy.budget.forced == 1
-    bench.move('Job/t/old-7/0', Transition.STOPPED)
+    bench.apply('Job/t/old-7/0', Transition.STOPPED)
     bench.place()
     assert bench.list_phase(Phase.STARTING) == [urgent]
 
 
 def test_backfill_does_not_starve_a_large_job() -> None:
-    """Small jobs took each gap from a job that needs a whole worker."""
-    bench = Bench(2)
+    """Small jobs took all freed resources, so a large job never started."""
+    bench = PolicyBench(2)
     large = ''
     for number in range(40):
         bench.submit(f'first-{number}')
@@ -194,10 +196,10 @@
         for task in bench.list_phase(Phase.STARTING):
             if task == large:
                 return
-            bench.move(task, Transition.STARTED)
+            bench.apply(task, Transition.STARTED)
         running = bench.list_phase(Phase.RUNNING)
         for task in running[:2]:
-            bench.move(task, Transition.FINISH)
+            bench.apply(task, Transition.FINISH)
         bench.clock.advance(2.0)
     pytest.fail('the large job never started')
 
@@ -229,8 +231,8 @@
             assert len(window) <= budget.burst + earned + 1e-6
 
 
-def test_throttling_does_not_flap() -> None:
-    """A ratio that wavers around its limits throttled and freed by turns."""
+def test_throttling_does_not_oscillate() -> None:
+    """A noisy ratio near the limits throttled and relaxed jobs in turn."""
     isolator = Isolator(lambda: False)
     share = 1.0
     changes = []
@@ -256,8 +258,8 @@
         assert not isolator.decide('w', ratio, at, at, [neighbour], LIMITS)
 
 
-def test_noise_does_not_move_a_service_own_time() -> None:
-    """Noise made neighbours look harmful, or harmless."""
+def test_noise_does_not_shift_the_baseline() -> None:
+    """Noise shifted the baseline, so jobs seemed harmful or harmless."""
     rng = random.Random(1)
     model = InterferenceModel()
     model.observe('s', 2, {}, 20.0, 0.0)
@@ -267,7 +269,7 @@
     assert model.get_ratio('s', 2, 20.0) == pytest.approx(1.0, abs=0.03)
 
 
-def test_a_full_throttle_that_does_not_help_ends_in_eviction() -> None:
+def test_an_ineffective_full_throttle_ends_in_eviction() -> None:
     for allowed in (True, False):
         isolator = Isolator(functools.partial(bool, allowed))
         neighbour = Neighbour('Job/t/a/0', 1, 0.4, 0.1, 0.0)
@@ -278,7 +280,7 @@
         assert any(isinstance(act, EvictAction) for act in acts) is allowed
 
 
-def test_an_act_is_judged_by_measurements_after_it() -> None:
+def test_actions_wait_for_measurements_after_the_last_one() -> None:
     isolator = Isolator(lambda: True)
     neighbour = Neighbour('Job/t/a/0', 1, 0.4, 1.0, 0.0)
     limits = Limits(settle_seconds=5.0)
@@ -290,8 +292,8 @@
     assert len(acts) == 1
 
 
-def test_interference_is_told_apart_and_forgotten() -> None:
-    """The model blamed the wrong class, or for ever."""
+def test_interference_is_attributed_by_class_and_expires() -> None:
+    """The model blamed the wrong class, or never forgot a slowdown."""
     model = InterferenceModel()
     for step in range(400):
         mix = {'loud': float(step % 3 == 0), 'soft': float(step % 2)}
@@ -311,8 +313,8 @@
     return Task(f'Job/t/{name}/0', Demand(4, 4000), job_class=job_class)
 
 
-def test_a_worker_that_fails_everything_is_told_from_a_bad_class() -> None:
-    """Failures of bad workers counted against jobs."""
+def test_faulty_workers_are_distinguished_from_faulty_classes() -> None:
+    """Failures caused by faulty workers counted against jobs."""
     rows = MemorySlice()
     rows.add_workers([Room(8.0, 32_000, 0)] * 10)
     names = list(rows.workers)
@@ -380,7 +382,7 @@
     assert learner.get_seconds(job) == 30.0
 
 
-def test_overruns_are_throttled_then_moved() -> None:
+def test_overruns_are_throttled_then_relocated() -> None:
     watch = OverrunDetector()
     job = attrs.evolve(make_job('x'), attempt=1)
     usage = Usage(job.id, 1, 0.0, cores=8.0, memory_mb=1000)
