--- a/lentilmount/batch/drafts.py
+++ b/lentilmount/batch/drafts.py
@@ -1,4 +1,4 @@
-"""What one transaction on a slice is going to change."""
+"""Collects the changes that one transaction makes to a slice."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from lentilmount.events import EventKind
 from lentilmount.resources import Phase
 
-OPERATIONS_A_MOVE = 4
-"""Most rows that one move writes: task, done row, worker, inbox row."""
+OPERATIONS_PER_TRANSITION = 4
+"""Maximum rows that a transition writes: task, done row, worker, inbox row."""
 
 SHARED_OPERATIONS = 4
-"""Rows of any transaction: lease, change, and two that are pruned."""
+"""Rows that any transaction may write: lease, log entry, two pruned entries."""
 
 
 class OvercommitError(Exception):
-    """A placement that the worker's ledger has no room for."""
+    """A placement for which the worker has too few free resources."""
 
 
 class SliceRows(Protocol):
-    """The rows of a slice as the table has them."""
+    """The committed rows of a slice."""
 
     @property
     def tasks(self) -> Mapping[str, Task]:
-        """Tasks that are not over, by id."""
+        """Tasks that have not ended, by id."""
 
     @property
     def workers(self) -> Mapping[str, WorkerRecord]:
@@ -44,16 +44,16 @@
 
 @attrs.define
 class Draft:
-    """What one transaction is going to change.
+    """The changes of one transaction that is not yet committed.
 
     Attributes:
-      ledger: The rows before it.
-      tasks: New states of tasks.
-      workers: New states of workers.
+      ledger: The committed rows that the changes apply to.
+      tasks: New states of tasks, by id.
+      workers: New records of workers, by name.
       changes: Entries for the slice's change log.
-      consumed: Rows that this transaction deletes.
-      aside: Inbox rows that cannot be read, and why.
-      notes: What goes to the time line once it is committed.
+      consumed: Inbox rows to delete.
+      unreadable: Unreadable inbox rows to keep, with the errors.
+      events: Events to record after the commit: kind, task and cause.
     """
 
     ledger: SliceRows
@@ -65,11 +65,11 @@
     events: list[tuple[EventKind, Task, str]] = attrs.Factory(list)
 
     def get_task(self, task: str) -> Task | None:
-        """Returns a task as this transaction would leave it."""
+        """Returns a task with the changes of this transaction, or None."""
         return self.tasks.get(task) or self.ledger.tasks.get(task)
 
     def get_worker(self, name: str) -> WorkerRecord:
-        """Returns a worker as this transaction would leave it."""
+        """Returns a worker's record with the changes of this transaction."""
         return self.workers.get(name) or self.ledger.workers[name]
 
     @property
@@ -79,14 +79,14 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether another move might not fit in the transaction."""
+        """Whether the transaction may have no room for another transition."""
         used = 2 * len(self.tasks) + len(self.workers)
         used += len(self.consumed) + len(self.unreadable)
-        spare = OPERATIONS_A_MOVE + SHARED_OPERATIONS
-        return used + spare > MAX_OPERATIONS
+        reserve = OPERATIONS_PER_TRANSITION + SHARED_OPERATIONS
+        return used + reserve > MAX_OPERATIONS
 
     def copy(self) -> Draft:
-        """Returns a copy that later changes do not touch."""
+        """Returns a copy that is independent of later changes."""
         return Draft(
             self.ledger,
             dict(self.tasks),
@@ -98,7 +98,7 @@
         )
 
     def restore(self, copy: Draft) -> None:
-        """Takes back everything since a copy was made."""
+        """Reverts all changes made since a copy was taken."""
         self.tasks = copy.tasks
         self.workers = copy.workers
         self.changes = copy.changes
@@ -107,30 +107,33 @@
         self.events = copy.events
 
     def admit(self, task: Task) -> None:
-        """Adds a task that is new to the slice."""
-        self._note(EventKind.ACCEPTED, task)
+        """Adds a new task to the slice."""
+        self._record(EventKind.ACCEPTED, task)
 
     def set_worker(self, worker: WorkerRecord) -> None:
-        """Adds a worker or changes its row."""
+        """Adds or updates a worker's record."""
         self.workers[worker.name] = worker
 
     def set_checkpoint(self, task: Task, checkpoint: str) -> None:
-        """Records where a task could resume from; no move."""
+        """Records a task's newest checkpoint, without a transition."""
         self.tasks[task.id] = attrs.evolve(task, checkpoint=checkpoint)
 
     def keep_unreadable(self, row: Row, error: str) -> None:
-        """Moves an inbox row that cannot be read to where it is kept."""
+        """Moves an unreadable inbox row to the partition for such rows."""
         self.consumed.append(row)
         self.unreadable.append((row, error))
 
     def place(self, task: Task, worker: WorkerRecord) -> Task:
         """Commits a pending task to a worker.
 
+        Returns:
+          The task with its new attempt.
+
         Raises:
-          OvercommitError: The worker has no room for it.
+          OvercommitError: The worker has too few free resources.
         """
-        room = self.get_worker(worker.name)
-        if not task.demand.fits(room.free):
+        record = self.get_worker(worker.name)
+        if not task.demand.fits(record.free):
             raise OvercommitError(f'{task.id} does not fit on {worker.name}')
         placed = attrs.evolve(
             task,
@@ -138,28 +141,44 @@
             reason='',
             attempt=task.attempt + 1,
             worker=worker.name,
-            boot=room.boot,
+            boot=record.boot,
             endpoint='',
         )
-        self.workers[worker.name] = room.commit(placed)
+        self.workers[worker.name] = record.commit(placed)
         kind = EventKind.RESUMED if task.attempt else EventKind.PLACED
-        self._note(kind, placed)
+        self._record(kind, placed)
         return placed
 
-    def transition(self, task: Task, move: Transition, **changes: Any) -> Task:
-        """Makes any other move, releasing the commitment where it ends."""
-        phase = next_phase(task.phase, move)
-        moved = attrs.evolve(task, phase=phase, **changes)
+    def transition(
+        self, task: Task, transition: Transition, **changes: Any
+    ) -> Task:
+        """Applies a transition other than a placement to a task.
+
+        Releases the commitment on the worker if the attempt ends.
+
+        Args:
+          task: The task.
+          transition: The transition.
+          **changes: New values of other fields of the task.
+
+        Returns:
+          The task in its new state.
+
+        Raises:
+          TransitionError: The task's phase does not allow the transition.
+        """
+        phase = next_phase(task.phase, transition)
+        updated = attrs.evolve(task, phase=phase, **changes)
         if task.phase in COMMITTED_PHASES and phase not in COMMITTED_PHASES:
-            held = self.get_worker(task.worker)
-            self.workers[task.worker] = held.release(task)
-            moved = attrs.evolve(moved, endpoint='')
+            record = self.get_worker(task.worker)
+            self.workers[task.worker] = record.release(task)
+            updated = attrs.evolve(updated, endpoint='')
             if phase is Phase.PENDING:
-                moved = attrs.evolve(moved, worker='', boot='')
-        self._note(EVENTS[move], moved)
-        return moved
+                updated = attrs.evolve(updated, worker='', boot='')
+        self._record(EVENTS[transition], updated)
+        return updated
 
-    def _note(self, kind: EventKind, task: Task) -> None:
+    def _record(self, kind: EventKind, task: Task) -> None:
         self.tasks[task.id] = task
         self.events.append((kind, task, task.reason))
         self.changes.append({'event': kind.value, 'task': unstructure(task)})
--- a/lentilmount/batch/ledger.py
+++ b/lentilmount/batch/ledger.py
@@ -1,9 +1,9 @@
-"""The rows of one slice and the one way to change them.
+"""Holds the rows of one slice in memory and writes all changes to them.
 
-Every change is one transaction that also renews the slice's lease, so it
-applies only while this daemon still holds the slice. No other daemon writes
-these rows, and what is in memory is what the table last said. Changes that
-come while a transaction is under way share the next one.
+Each change is a transaction that also renews the slice's lease, so it applies
+only while this daemon still holds the slice. No other daemon writes these
+rows, so the copy in memory matches the table. Changes made while a
+transaction is in progress are batched into the next one.
 """
 
 from __future__ import annotations
@@ -61,22 +61,23 @@
 T = TypeVar('T')
 
 FIRST_RETRY_SECONDS = 0.25
-LONGEST_RETRY_SECONDS = 5.0
-PRUNED_AT_ONCE = 2
-"""Entries of the change log that a transaction deletes; it adds one."""
+MAX_RETRY_SECONDS = 5.0
+MAX_PRUNED_ENTRIES = 2
+"""Maximum change log entries that a transaction deletes; it adds one."""
 
 
 @attrs.frozen
 class LedgerOptions:
-    """How a ledger writes.
+    """Options of a ledger.
 
     Attributes:
-      rows_per_second: Most rows that changes which are not urgent write.
-      burst_rows: Rows that may be written at once after a quiet time.
-      gather_seconds: Changes within this time share a transaction.
-      changes_kept: Entries of the change log kept for those who follow it.
-      offline_renewal_seconds: How long leases are renewed without the table.
-      task_lease_seconds: How long a task runs on without renewal.
+      rows_per_second: Rate limit on writes; urgent changes are exempt.
+      burst_rows: Rows that may be written at once after an idle time.
+      gather_seconds: Time in which changes are batched into a transaction.
+      changes_kept: Change log entries kept for its readers.
+      offline_renewal_seconds: Time that task leases are renewed without the
+        table.
+      task_lease_seconds: Time that a task keeps running without renewal.
     """
 
     rows_per_second: float = 400.0
@@ -87,23 +88,23 @@
     task_lease_seconds: float = 15.0
 
     def extend_offline_renewal(self, data: dict[str, Any]) -> dict[str, Any]:
-        """Returns a lease's data for a takeover; see `promise`."""
+        """Returns a lease's data to write on a takeover."""
         return extend_offline_renewal(
             data, self.offline_renewal_seconds, self.task_lease_seconds
         )
 
 
 @attrs.define(eq=False)
-class _Group:
-    """Changes that share one transaction.
+class _CommitGroup:
+    """A batch of changes that share one transaction.
 
     Attributes:
-      draft: What they change.
-      urgent: Set when one of them cannot wait.
-      opened: Set when the transaction before is over.
-      closed: Whether nobody may join any more.
-      users: How many are changing the draft now.
-      commit: Ends when the transaction has ended.
+      draft: The changes.
+      urgent: Set when one of the changes is urgent.
+      opened: Set when the previous transaction has ended.
+      closed: Whether no more changes may join.
+      users: Number of callers that are changing the draft.
+      commit: Commits the batch; done when the transaction has ended.
     """
 
     draft: Draft
@@ -115,19 +116,20 @@
 
 
 class Ledger:
-    """The rows of one slice, in memory as in the table.
+    """In-memory copy of the rows of one slice, and their only writer.
 
     Attributes:
-      slice_name: The slice.
+      slice_name: Name of the slice.
       lease: The slice's lease.
-      tasks: Tasks that are not over, by id.
-      workers: Workers, by name.
-      observers: Called with each task as a transaction left it.
-      generation: Raised by each transaction that changed a task or worker.
-      unread: Tasks and workers whose rows cannot be read; left alone.
-      offline_renewal_seconds: The longest promise that a former owner may be
-        keeping.
-      task_lease_seconds: The longest lease that it may have given.
+      tasks: Tasks that have not ended, by id.
+      workers: Worker records, by name.
+      observers: Called with the new state of each task after a commit.
+      generation: Incremented by each commit that changed a task or worker.
+      unreadable: Ids of tasks and names of workers with unreadable rows, which
+        are left unchanged.
+      offline_renewal_seconds: Longest time for which a previous owner may
+        still be renewing task leases without the table.
+      task_lease_seconds: Longest task lease that a previous owner granted.
     """
 
     def __init__(
@@ -157,43 +159,47 @@
         self.task_lease_seconds = max(
             float(data.get(TASK_LEASE, 0.0)), self._options.task_lease_seconds
         )
-        self._settles_at = monotonic() + (
+        self._inherited_until = monotonic() + (
             self.offline_renewal_seconds + self.task_lease_seconds
         ) * (1 + CLOCK_DRIFT)
         self._versions: dict[Key, int] = {}
         self._lock = asyncio.Lock()
-        self._group: _Group | None = None
+        self._group: _CommitGroup | None = None
         self._commits: set[asyncio.Task[None]] = set()
         self._next_write = monotonic()
-        self._pace = WriteLimiter(
+        self._write_limiter = WriteLimiter(
             self._options.rows_per_second, self._options.burst_rows, monotonic
         )
 
     async def load(self) -> None:
-        """Reads every row of the slice."""
+        """Reads all rows of the slice.
+
+        Raises:
+          UnavailableError: The table does not answer.
+        """
         await self._load(f'task/{self.slice_name}', self.tasks, Task)
         await self._load(
             f'worker/{self.slice_name}', self.workers, WorkerRecord
         )
 
     async def _load(
-        self, partition: str, into: dict[str, T], cls: type[T]
+        self, partition: str, target: dict[str, T], cls: type[T]
     ) -> None:
         for row in await scan_all(self._table, partition):
-            # One row that a newer version wrote, or a damaged one, must not
-            # keep the whole slice from being owned: it stays as it is, and
-            # with it what its worker's ledger holds for it.
+            # A damaged row, or one written by a newer version, must not
+            # prevent the slice from being owned. The row stays as it is, and
+            # so does the task's commitment on its worker.
             try:
-                into[row.key.sort] = structure(row.body, cls)
+                target[row.key.sort] = structure(row.body, cls)
             except InvalidError as error:
                 self.unreadable.add(row.key.sort)
                 log.error('Row {} cannot be read: {}.', row.key, error)
             self._versions[row.key] = row.version
 
     def close(self) -> None:
-        """Gives up the transactions under way, and the promise to renew.
+        """Cancels pending transactions and withdraws the offline renewal time.
 
-        Call it when every link has ended, before the lease is released.
+        Call it after all sessions have ended and before releasing the lease.
         """
         for commit in self._commits:
             commit.cancel()
@@ -201,20 +207,20 @@
 
     @contextlib.asynccontextmanager
     async def change(self, *, urgent: bool = False) -> AsyncIterator[Draft]:
-        """Gives a draft, and commits it when the block ends.
+        """Yields a draft and commits it at the end of the block.
 
-        Nothing in memory changes unless the transaction is known to have
-        applied. While the table does not answer, the block waits, and with
-        it every other change of the slice: nothing new is promised. The
-        draft is shared with others; a block that raises takes its own part
-        back. Check `is_full` before each move.
+        The copy in memory changes only after the transaction is known to have
+        been applied. While the table does not answer, the block waits and so
+        does every other change of the slice. The draft is shared with other
+        callers; if the block raises, its own changes are reverted. Check
+        `is_full` before each transition.
 
         Args:
-          urgent: Whether to go ahead of the limit on writes.
+          urgent: Whether to bypass the rate limit on writes.
 
         Raises:
           LeaseLostError: Another daemon holds the slice.
-          ConflictError: A row is not as in memory; load the slice again.
+          ConflictError: A row differs from the copy in memory; reload it.
         """
         group = await self._join(urgent)
         before = group.draft.copy()
@@ -227,7 +233,7 @@
         finally:
             group.users -= 1
         assert group.commit is not None
-        # Who is cancelled here leaves; the transaction is not cut off.
+        # Cancelling this caller must not cancel the shared transaction.
         await asyncio.shield(group.commit)
 
     async def renew(self) -> None:
@@ -237,7 +243,7 @@
           LeaseLostError: Another daemon holds the slice.
         """
         async with self._lock:
-            if self._monotonic() > self._settles_at:
+            if self._monotonic() > self._inherited_until:
                 options = self._options
                 reset_offline_renewal(
                     self.lease.data,
@@ -248,40 +254,40 @@
 
     @property
     def is_write_limited(self) -> bool:
-        """Whether what is not urgent has to wait."""
-        return not self._pace.is_open
+        """Whether changes that are not urgent have to wait."""
+        return not self._write_limiter.is_open
 
-    async def _join(self, urgent: bool) -> _Group:
+    async def _join(self, urgent: bool) -> _CommitGroup:
         while True:
             if not urgent:
-                await self._pace.wait()
+                await self._write_limiter.wait()
             group = self._group or self._begin()
             if urgent:
                 group.urgent.set()
             await group.opened.wait()
-            waits = not urgent and not self._pace.is_open
-            if not (group.closed or group.draft.is_full or waits):
+            must_wait = not urgent and not self._write_limiter.is_open
+            if not (group.closed or group.draft.is_full or must_wait):
                 return group
             await asyncio.sleep(0)
 
-    def _begin(self) -> _Group:
-        group = self._group = _Group(Draft(self))
+    def _begin(self) -> _CommitGroup:
+        group = self._group = _CommitGroup(Draft(self))
         group.commit = asyncio.create_task(self._run_group(group))
         self._commits.add(group.commit)
-        group.commit.add_done_callback(self._note_end)
+        group.commit.add_done_callback(self._discard_commit)
         return group
 
-    def _note_end(self, commit: asyncio.Task[None]) -> None:
-        # Those who wait for it get the error; if all were cancelled, the
-        # next renewal of the lease meets the same one.
+    def _discard_commit(self, commit: asyncio.Task[None]) -> None:
+        # Waiting callers receive the error. If all were cancelled, it is
+        # retrieved here, and the next renewal of the lease fails likewise.
         self._commits.discard(commit)
         if not commit.cancelled():
             commit.exception()
 
-    async def _run_group(self, group: _Group) -> None:
+    async def _run_group(self, group: _CommitGroup) -> None:
         async with self._lock:
             try:
-                await self._gather(group)
+                await self._wait_for_changes(group)
                 group.opened.set()
                 await asyncio.sleep(0)
                 while group.users:
@@ -293,7 +299,7 @@
             if not group.draft.is_empty:
                 await self._commit(group.draft)
 
-    async def _gather(self, group: _Group) -> None:
+    async def _wait_for_changes(self, group: _CommitGroup) -> None:
         pause = self._next_write - self._monotonic()
         if pause > 0:
             await wait_with_timeout(group.urgent, pause)
@@ -321,15 +327,15 @@
         oldest = int(data.get('oldest', 1))
         key = make_change_key(self.slice_name, newest)
         operations: list[Operation] = [Put(key, {'changes': changes})]
-        # Who follows the log compares with `oldest` and starts afresh when
-        # entries that it has not seen are gone.
+        # Readers of the log compare their position with `oldest` and reload
+        # the slice if entries that they have not read were deleted.
         surplus = newest - oldest + 1 - self._options.changes_kept
-        for _ in range(min(PRUNED_AT_ONCE, max(0, surplus))):
+        for _ in range(min(MAX_PRUNED_ENTRIES, max(0, surplus))):
             key = make_change_key(self.slice_name, oldest)
             operations.append(Delete(key, ABSENT + 1))
             oldest += 1
         data.update(sequence=newest, oldest=oldest)
-        # Routing follows services only, and need not read what jobs do.
+        # Routing follows services only and skips entries about jobs alone.
         data.setdefault('services', 0)
         if any(c['task']['id'].startswith('Service/') for c in changes):
             data['services'] = newest
@@ -360,11 +366,11 @@
                 await self._keeper.renew(self.lease, operations, token)
                 break
             except UnavailableError:
-                # Every slice waits for the same table; without jitter all
-                # would come back in the same moment and bring it down again.
+                # All slices wait for the same table. Without jitter they
+                # would retry at the same moment and overload it again.
                 await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-                pause = min(2 * pause, LONGEST_RETRY_SECONDS)
-        self._pace.spend(len(operations) + 1)
+                pause = min(2 * pause, MAX_RETRY_SECONDS)
+        self._write_limiter.spend(len(operations) + 1)
 
     def _apply(self, draft: Draft, operations: list[Operation]) -> None:
         for operation in operations:
@@ -372,7 +378,7 @@
                 self._versions[operation.key] = operation.expected + 1
             else:
                 self._versions.pop(operation.key, None)
-        for key in self._list_passing(operations):
+        for key in self._list_write_once(operations):
             self._versions.pop(key, None)
         for task in draft.tasks.values():
             if task.phase in FINAL_PHASES:
@@ -393,12 +399,12 @@
                 cause=cause,
             )
 
-    def _list_passing(self, operations: list[Operation]) -> list[Key]:
-        # Rows that are written once are not remembered: over weeks their
-        # versions would fill the daemon's memory.
-        once = ('change/', 'done/', 'aside/')
+    def _list_write_once(self, operations: list[Operation]) -> list[Key]:
+        # Versions of rows that are written only once are not kept: over weeks
+        # they would fill the daemon's memory.
+        write_once = ('change/', 'done/', 'aside/')
         return [
             operation.key
             for operation in operations
-            if operation.key.partition.startswith(once)
+            if operation.key.partition.startswith(write_once)
         ]
--- a/lentilmount/batch/records.py
+++ b/lentilmount/batch/records.py
@@ -1,4 +1,4 @@
-"""The rows of a slice: its tasks and the ledgers of its workers."""
+"""Rows of a slice: its tasks and its workers with their commitments."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 @attrs.frozen
 class Task:
-    """One task: a job's only one, or a replica of a service.
+    """A task: the single task of a job, or one replica of a service.
 
     Attributes:
-      id: kind/team/name/index.
-      demand: What the ledger holds for it on its worker.
-      declared: What its owner asked for, where `demand` was learned.
-      zone: Availability zone that it has to run in, or ''.
-      share: Share of its processors that the attempt was begun with, so as
-        to spare the services beside it; `demand` is what is left.
-      job_class: Tasks that behave alike.
-      urgency: Urgent tasks go first.
-      payload: Given to the worker as it is.
+      id: Unique id, as kind/team/name/index.
+      demand: Resources committed for it on its worker.
+      declared: Declared demand, if `demand` was learned, else None.
+      zone: Required availability zone, or ''.
+      share: Share of its cores that the attempt was started with, to limit
+        interference with services; `demand` already includes it.
+      job_class: Name of a class of tasks that behave alike.
+      urgency: Urgent tasks are placed first.
+      payload: Passed to the worker unchanged.
       expected_seconds: Declared run time.
-      accepted: Wall time when it was accepted, for order only.
-      phase: Where it is in its life.
-      reason: Why, in a few words.
+      accepted: Wall time of acceptance, used for ordering only.
+      phase: Current phase.
+      reason: Reason for the phase, for operators.
       attempt: Number of the current or last attempt; 0 before the first.
-      worker: Where the current attempt is committed, or ''.
-      boot: The worker's boot that the attempt belongs to.
-      endpoint: Where it serves requests, or ''.
-      checkpoint: Where the next attempt resumes from, or ''.
-      output: The committed output, or ''.
-      evictions: How often it was evicted.
-      failed_on: Workers on which it failed.
-      cancel: Whether cancelling it was accepted.
+      worker: Worker on which the current attempt is committed, or ''.
+      boot: Boot of the worker that the attempt belongs to.
+      endpoint: Address where it serves requests, or ''.
+      checkpoint: Name of the checkpoint to resume from, or ''.
+      output: Name of the committed output, or ''.
+      evictions: Number of evictions.
+      failed_on: Names of the workers on which it failed.
+      cancel: Whether a cancellation was accepted.
     """
 
     id: str
@@ -62,12 +62,12 @@
 
     @property
     def team(self) -> str:
-        """The team that owns it."""
+        """Name of the owning team."""
         return self.id.split('/')[1]
 
     @property
     def resource(self) -> str:
-        """Path of the resource it belongs to, as kind/team/name."""
+        """Path of its job or service, as kind/team/name."""
         return self.id.rpartition('/')[0]
 
     @property
@@ -77,7 +77,7 @@
 
     @property
     def commitment(self) -> str:
-        """Name of its entry in the worker's ledger."""
+        """Key of its entry in the worker's commitments."""
         return f'{self.id}#{self.attempt}'
 
     @property
@@ -88,19 +88,19 @@
 
 @attrs.frozen
 class WorkerRecord:
-    """A worker's row: what it has and what is committed on it.
+    """A worker's row: its capacity and the resources committed on it.
 
     Attributes:
-      name: The worker's name.
-      address: IP number and port of its API.
-      zone: Its availability zone.
-      rack: Its rack.
-      boot: Its last known boot.
-      capacity: What it has in all.
-      commitments: What each attempt holds, by `Task.commitment`.
-      cordoned: Whether operators keep new work away.
-      leaving: Whether it is going away.
-      quarantined: Why it gets no new work, or ''.
+      name: Name of the worker.
+      address: IP address and port of its API.
+      zone: Availability zone.
+      rack: Rack.
+      boot: Last known boot, or '' before its first answer.
+      capacity: Total resources.
+      commitments: Resources committed to each attempt, by `Task.commitment`.
+      cordoned: Whether operators excluded it from placement.
+      leaving: Whether it is about to be removed.
+      quarantined: Reason for its quarantine, or ''.
     """
 
     name: str
@@ -116,7 +116,7 @@
 
     @property
     def free(self) -> Room:
-        """What is not committed."""
+        """Resources that are not committed."""
         free = self.capacity
         for demand in self.commitments.values():
             free = free.subtract(demand)
@@ -124,7 +124,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it may get new work."""
+        """Whether new tasks may be placed on it."""
         closed = self.cordoned or self.leaving or self.quarantined
         return bool(self.boot) and not closed
 
@@ -141,42 +141,42 @@
 
 
 def make_slice_key(slice_name: str) -> Key:
-    """Key of a slice's lease."""
+    """Returns the key of a slice's lease."""
     return Key('slice', slice_name)
 
 
 def make_task_key(slice_name: str, task: str) -> Key:
-    """Key of a task that is not over."""
+    """Returns the key of a task that has not ended."""
     return Key(f'task/{slice_name}', task)
 
 
 def make_done_key(slice_name: str, task: str) -> Key:
-    """Key of a task that is over."""
+    """Returns the key of a task that has ended."""
     return Key(f'done/{slice_name}', task)
 
 
 def make_worker_key(slice_name: str, worker: str) -> Key:
-    """Key of a worker's ledger."""
+    """Returns the key of a worker's record."""
     return Key(f'worker/{slice_name}', worker)
 
 
 def make_inbox_partition(slice_name: str) -> str:
-    """Partition of what operators ask of a slice."""
+    """Returns the partition of requests to a slice's owner."""
     return f'inbox/{slice_name}'
 
 
 def make_unreadable_key(slice_name: str, order: str) -> Key:
-    """Key of an inbox row that could not be read, kept for operators."""
+    """Returns the key for an unreadable inbox row, kept for operators."""
     return Key(f'aside/{slice_name}', order)
 
 
 def make_change_key(log: str, sequence: int) -> Key:
-    """Key of an entry of a change log."""
+    """Returns the key of a change log entry."""
     return Key(f'change/{log}', f'{sequence:012d}')
 
 
 def read_changes(row: Row) -> list[tuple[str, Task]]:
-    """Reads an entry of a slice's change log: events with tasks, in order."""
+    """Returns the changes in a slice's log entry: event kinds with tasks."""
     return [
         (change['event'], structure(change['task'], Task))
         for change in row.body['changes']
--- a/lentilmount/batch/states.py
+++ b/lentilmount/batch/states.py
@@ -1,4 +1,4 @@
-"""The life of a task, as one table of moves."""
+"""State machine of a task, as a table of transitions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Transition(enum.Enum):
-    """What can happen to a task."""
+    """Transitions of a task."""
 
     PLACE = 'place'
     STARTED = 'started'
@@ -23,7 +23,7 @@
     REFUSE = 'refuse'
 
 
-MOVES: dict[tuple[Phase, Transition], Phase] = {
+TRANSITIONS: dict[tuple[Phase, Transition], Phase] = {
     (Phase.PENDING, Transition.PLACE): Phase.STARTING,
     (Phase.PENDING, Transition.REFUSE): Phase.REFUSED,
     (Phase.PENDING, Transition.CANCEL): Phase.CANCELLED,
@@ -40,8 +40,8 @@
     (Phase.RUNNING, Transition.EVICT): Phase.EVICTING,
     (Phase.RUNNING, Transition.LOST): Phase.PENDING,
     (Phase.RUNNING, Transition.CANCEL): Phase.CANCELLING,
-    # A task may finish or fail while it is being stopped: what the worker
-    # says it did is what counts, so finished work is never run again.
+    # A task may finish or fail while it is being stopped. The worker's report
+    # decides, so that finished work is never run again.
     (Phase.EVICTING, Transition.FINISH): Phase.COMPLETED,
     (Phase.EVICTING, Transition.FAIL): Phase.PENDING,
     (Phase.EVICTING, Transition.GIVE_UP): Phase.FAILED,
@@ -53,7 +53,7 @@
     (Phase.CANCELLING, Transition.GIVE_UP): Phase.CANCELLED,
     (Phase.CANCELLING, Transition.STOPPED): Phase.CANCELLED,
     (Phase.CANCELLING, Transition.LOST): Phase.CANCELLED,
-    # Repeated wishes change nothing.
+    # Repeated requests change nothing.
     (Phase.EVICTING, Transition.EVICT): Phase.EVICTING,
     (Phase.CANCELLING, Transition.EVICT): Phase.CANCELLING,
     (Phase.CANCELLING, Transition.CANCEL): Phase.CANCELLING,
@@ -65,7 +65,7 @@
 """Phases in which an attempt is committed on a worker."""
 
 STOPPING = frozenset({Phase.EVICTING, Phase.CANCELLING})
-"""Phases in which the worker is to be told to stop."""
+"""Phases in which the worker is sent stop commands."""
 
 EVENTS: dict[Transition, EventKind] = {
     Transition.PLACE: EventKind.PLACED,
@@ -81,17 +81,19 @@
 }
 
 
-class MoveError(Exception):
-    """A move that the task's phase does not allow."""
+class TransitionError(Exception):
+    """A transition that the task's phase does not allow."""
 
 
-def next_phase(phase: Phase, move: Transition) -> Phase:
-    """Looks a move up.
+def next_phase(phase: Phase, transition: Transition) -> Phase:
+    """Returns the phase after a transition.
 
     Raises:
-      MoveError: The phase does not allow the move.
+      TransitionError: The phase does not allow the transition.
     """
     try:
-        return MOVES[phase, move]
+        return TRANSITIONS[phase, transition]
     except KeyError:
-        raise MoveError(f'{phase.value} does not allow {move.value}') from None
+        raise TransitionError(
+            f'{phase.value} does not allow {transition.value}'
+        ) from None
