--- a/lentilmount/batch/__init__.py
+++ b/lentilmount/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Placing tasks on workers and seeing each to its end exactly once."""
+"""Places tasks on workers and tracks each to its end, exactly once."""
--- a/lentilmount/batch/inbox.py
+++ b/lentilmount/batch/inbox.py
@@ -1,7 +1,7 @@
-"""What operators ask of a slice: rows that its owner answers.
+"""Inbox of a slice: rows with requests for its owner.
 
-Whoever accepts a command writes a row here; the owner deletes it in the same
-transaction that carries the command out, so each is carried out once.
+The daemon that accepts a command writes a row; the owner deletes it in the
+transaction that executes the command, so each command is executed once.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from lentilmount.errors import InvalidError
 
 FORMAT = 1
-"""Raised when older owners could not carry a request out."""
+"""Row format; incremented when older owners could not execute requests."""
 
 URGENT_ORDER = '0'
-"""Requests whose order begins with this are answered first."""
+"""Prefix of the sort keys of urgent requests, which are answered first."""
 
 
 class RequestKind(enum.Enum):
-    """What can be asked."""
+    """Kinds of requests."""
 
     SUBMIT = 'submit'
     CANCEL = 'cancel'
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Request:
-    """One row of an inbox.
+    """A request in an inbox row.
 
     Attributes:
-      wish: What is asked.
-      task_id: The task it is about.
-      task: For submit: the task as accepted.
+      wish: Kind of request.
+      task_id: Id of the task.
+      task: The accepted task, for a submit; else None.
     """
 
     wish: RequestKind
@@ -45,35 +45,37 @@
 
 
 def make_request_put(slice_name: str, order: str, request: Request) -> Put:
-    """Returns the write that puts a request into an inbox.
+    """Returns the write that adds a request to an inbox.
 
     Args:
-      slice_name: The slice whose owner is asked.
-      order: Unique; the inbox is read in this order.
-      request: What is asked.
+      slice_name: Name of the slice.
+      order: Unique sort key; requests are answered in this order.
+      request: The request.
     """
     key = Key(make_inbox_partition(slice_name), order)
     return Put(key, {'format': FORMAT, 'request': unstructure(request)})
 
 
 def is_newer(row: Row) -> bool:
-    """Tells whether a newer version wrote a row, and has to answer it."""
+    """Returns whether a row has a newer format, so that it must be left."""
     newer = row.body.get('format', FORMAT)
     return isinstance(newer, int) and newer > FORMAT
 
 
 def is_urgent(row: Row) -> bool:
-    """Tells whether a row goes ahead of the limit on writes."""
+    """Returns whether a request is exempt from the rate limit on writes."""
     return row.key.sort.startswith(URGENT_ORDER)
 
 
 def read_request(row: Row) -> Request:
-    """Reads a row of an inbox.
+    """Returns the request in an inbox row.
 
     Raises:
       InvalidError: The row is damaged.
     """
     request = structure(row.body.get('request'), Request)
     if request.wish is RequestKind.SUBMIT and request.task is None:
-        raise InvalidError('request: a submit without a task')
+        raise InvalidError(
+            'request.task is missing; a submit request needs one'
+        )
     return request
--- a/lentilmount/batch/owner.py
+++ b/lentilmount/batch/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a slice: admits, places, and keeps a link to each worker."""
+"""Owner of a slice: admits and places tasks, and talks to the workers."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
 
 log = logbook.Logger('batch')
 
-STEP_SECONDS = 1.0
+ITERATION_SECONDS = 1.0
 INBOX_PAGE = 40
 
 
 @attrs.frozen
 class OwnerOptions:
-    """How an owner works.
+    """Options of an owner.
 
     Attributes:
-      sessions: Times of the leases of tasks.
-      slices: Every slice of the deployment.
-      lease_seconds: How long the slice is held without renewal.
+      sessions: Options of the sessions with workers.
+      slices: Names of all slices of the deployment.
+      lease_seconds: Duration of the slice's lease.
     """
 
     sessions: SessionOptions
@@ -61,16 +61,21 @@
 
 
 class Owner:
-    """Runs one slice for as long as its lease is held.
+    """Runs one slice while its lease is held.
 
     Args:
       ledger: The slice's rows, loaded.
-      table: Where the inbox is.
-      workers: How workers are reached.
-      configuration: What operators declared.
-      list_hosts: The workers of this slice, as the host list tells.
-      options: How to work.
-      monotonic: The clock for durations.
+      table: The table with the inbox.
+      workers: Client for the workers.
+      configuration: The operators' configuration.
+      list_hosts: Returns the workers of this slice in the host list.
+      options: Options of the owner.
+      monotonic: Clock for durations.
+
+    Attributes:
+      ledger: The slice's rows.
+      sessions: The sessions with its workers, by name.
+      policy: The scheduling policy.
     """
 
     def __init__(
@@ -91,10 +96,10 @@
         self._list_hosts = list_hosts
         self._options = options
         self._monotonic = monotonic
-        self._followed: tuple[int, int, list[Host]] | None = None
+        self._reconciled_inputs: tuple[int, int, list[Host]] | None = None
         self._wake = asyncio.Event()
-        self._tasks: asyncio.TaskGroup | None = None
-        self._running: list[asyncio.Task[None]] = []
+        self._task_group: asyncio.TaskGroup | None = None
+        self._subtasks: list[asyncio.Task[None]] = []
         self._stopped = asyncio.Event()
         self.policy = Policy(
             ledger, self.sessions, configuration, len(options.slices), monotonic
@@ -102,31 +107,31 @@
         self._shapes = WorkerShapes(table, options.slices, monotonic)
 
     def wake(self) -> None:
-        """Makes the owner look at its inbox now."""
+        """Starts the next iteration now, for example to read the inbox."""
         self._wake.set()
 
     def stop(self) -> None:
-        """Makes `run` return when no write is under way."""
+        """Makes `run` return as soon as no write is in progress."""
         self._stopped.set()
 
     async def run(self) -> None:
-        """Works until told to stop or the slice is lost.
+        """Runs the slice until `stop` is called or the lease is lost.
 
         Raises:
-          ExceptionGroup: With a `LeaseLostError`.
+          ExceptionGroup: Contains a `LeaseLostError` or another error.
         """
         try:
             async with asyncio.TaskGroup() as group:
-                self._tasks = group
+                self._task_group = group
                 for name in self.ledger.workers:
-                    self._add_link(name)
+                    self._add_session(name)
                 self._start(self._keep_lease())
                 self._start(self._work())
                 retention = Retention(self._table, self.ledger.slice_name)
                 self._start(retention.run())
                 await self._stopped.wait()
                 async with self.ledger.change(urgent=True):
-                    for task in self._running:
+                    for task in self._subtasks:
                         task.cancel()
         finally:
             self.ledger.close()
@@ -141,19 +146,19 @@
 
     async def _work(self) -> None:
         while True:
-            await self._answer_inbox()
-            await self._follow_news()
-            await self._refuse_hopeless()
-            await self._enforce()
+            await self._process_inbox()
+            await self._reconcile()
+            await self._refuse_infeasible()
+            await self._apply_policy()
             await self._place()
-            await wait_with_timeout(self._wake, STEP_SECONDS)
+            await wait_with_timeout(self._wake, ITERATION_SECONDS)
             self._wake.clear()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        assert self._tasks is not None
-        self._running.append(self._tasks.create_task(work))
+        assert self._task_group is not None
+        self._subtasks.append(self._task_group.create_task(work))
 
-    def _add_link(self, name: str) -> None:
+    def _add_session(self, name: str) -> None:
         session = WorkerSession(
             name,
             self.ledger,
@@ -166,17 +171,17 @@
         self.sessions[name] = session
         self._start(session.run())
 
-    async def _follow_news(self) -> None:
+    async def _reconcile(self) -> None:
         hosts = self._list_hosts()
-        news = (self._configuration.revision, self.ledger.generation, hosts)
-        if news == self._followed:
+        inputs = (self._configuration.revision, self.ledger.generation, hosts)
+        if inputs == self._reconciled_inputs:
             return
-        self._followed = news
-        await self._meet_hosts(hosts)
+        self._reconciled_inputs = inputs
+        await self._register_hosts(hosts)
         await self._reconcile_services()
         await self._drain_workers()
 
-    async def _meet_hosts(self, hosts: list[Host]) -> None:
+    async def _register_hosts(self, hosts: list[Host]) -> None:
         stale = [host for host in hosts if self._is_stale(host)]
         while stale:
             async with self.ledger.change() as draft:
@@ -184,7 +189,7 @@
                     draft.set_worker(self._update_worker(stale.pop(), draft))
         for name in self.ledger.workers:
             if name not in self.sessions:
-                self._add_link(name)
+                self._add_session(name)
 
     def _is_stale(self, host: Host) -> bool:
         if host.name in self.ledger.unreadable:
@@ -207,10 +212,10 @@
             leaving=record.leaving or host.leaving,
         )
 
-    async def _answer_inbox(self) -> None:
-        # Urgent requests come first in the inbox and are not held up. Others
-        # wait for the limit on writes, so that a wave of cancellations is
-        # worked off over many steps.
+    async def _process_inbox(self) -> None:
+        # Urgent requests come first in the inbox and are answered at once.
+        # Others are subject to the write limit, so that a burst of
+        # cancellations is spread over many iterations.
         with contextlib.suppress(UnavailableError):
             while rows := await self._read_inbox():
                 urgent = is_urgent(rows[0])
@@ -220,8 +225,8 @@
                     for row in rows:
                         if draft.is_full or is_urgent(row) is not urgent:
                             break
-                        self._answer(draft, row)
-                self._wake_stopping()
+                        self._process_request(draft, row)
+                self._wake_stopping_sessions()
 
     async def _read_inbox(self) -> list[Row]:
         partition = make_inbox_partition(self.ledger.slice_name)
@@ -230,13 +235,13 @@
             known = [row for row in rows if not is_newer(row)]
             if known:
                 return known
-            # What a newer version accepted waits for an owner of its version.
+            # Requests in a newer format are left to a newer owner.
             after = rows[-1].key.sort
         return []
 
-    def _answer(self, draft: Draft, row: Row) -> None:
-        # A row that cannot be read would come first in the inbox for ever,
-        # and nothing behind it would be answered.
+    def _process_request(self, draft: Draft, row: Row) -> None:
+        # An unreadable row has to leave the inbox, since it would block all
+        # the requests after it.
         try:
             request = read_request(row)
         except InvalidError as error:
@@ -259,7 +264,7 @@
         if reason:
             draft.transition(task, Transition.REFUSE, reason=reason)
 
-    def _wake_stopping(self) -> None:
+    def _wake_stopping_sessions(self) -> None:
         for task in self.ledger.tasks.values():
             if task.phase in STOPPING and task.worker in self.sessions:
                 self.sessions[task.worker].wake()
@@ -268,11 +273,11 @@
         if not self._configuration.is_ready:
             return
         wanted = self._list_wanted_replicas()
-        held = self.ledger.tasks
-        missing = [t for t in wanted.values() if t.id not in held]
+        current = self.ledger.tasks
+        missing = [t for t in wanted.values() if t.id not in current]
         extra = [
             task
-            for task in held.values()
+            for task in current.values()
             if task.is_service
             and task.id not in wanted
             and task.phase is not Phase.CANCELLING
@@ -285,7 +290,7 @@
                     draft.transition(
                         extra.pop(), Transition.CANCEL, reason='not wanted'
                     )
-        self._wake_stopping()
+        self._wake_stopping_sessions()
 
     def _list_wanted_replicas(self) -> dict[str, Task]:
         wanted = {}
@@ -298,8 +303,8 @@
                 if not spec.zones or get_zone(name) in spec.zones
             ]
             for index in range(spec.replicas if slices else 0):
-                where = find_replica_slice(index, slices)
-                if where == self.ledger.slice_name:
+                slice_name = find_replica_slice(index, slices)
+                if slice_name == self.ledger.slice_name:
                     task = Task(
                         id=f'{resource.path}/{index}',
                         demand=spec.demand,
@@ -312,30 +317,30 @@
         return wanted
 
     async def _drain_workers(self) -> None:
-        moving = [
+        draining = [
             task
             for task in self.ledger.tasks.values()
             if task.phase in (Phase.STARTING, Phase.RUNNING)
-            and self._is_emptying(task.worker)
+            and self._is_draining(task.worker)
         ]
-        while moving:
+        while draining:
             async with self.ledger.change() as draft:
-                while moving and not draft.is_full:
-                    task = draft.get_task(moving.pop().id)
+                while draining and not draft.is_full:
+                    task = draft.get_task(draining.pop().id)
                     if task and task.phase in (Phase.STARTING, Phase.RUNNING):
                         draft.transition(
                             task,
                             Transition.EVICT,
                             reason='the worker is leaving',
                         )
-            self._wake_stopping()
+            self._wake_stopping_sessions()
 
-    def _is_emptying(self, worker: str) -> bool:
+    def _is_draining(self, worker: str) -> bool:
         record = self.ledger.workers.get(worker)
         leaving = record is not None and record.leaving
         return leaving or self._configuration.get_worker(worker).drain
 
-    async def _refuse_hopeless(self) -> None:
+    async def _refuse_infeasible(self) -> None:
         publish_shapes(self.ledger.lease.data, self.ledger.workers.values())
         await self._shapes.refresh()
         infeasible = self.policy.list_infeasible(self._shapes.list_shapes)
@@ -347,28 +352,28 @@
                     if task is not None and task.phase is Phase.PENDING:
                         draft.transition(task, Transition.REFUSE, reason=reason)
 
-    async def _enforce(self) -> None:
+    async def _apply_policy(self) -> None:
         plan = self.policy.plan()
         while plan.is_open:
             async with self.ledger.change() as draft:
                 workers = self.policy.apply_plan(draft, plan)
-            self._wake_links(workers)
+            self._wake_sessions(workers)
 
     async def _place(self) -> None:
         more = len(self.policy.scheduler.queue) > 0
         while more:
             urgent = self.policy.has_urgent
             async with self.ledger.change(urgent=urgent) as draft:
-                placed = self.policy.place(draft)
-            self._wake_links(placed.workers)
-            more = placed.more
+                result = self.policy.place(draft)
+            self._wake_sessions(result.workers)
+            more = result.more
 
-    def _wake_links(self, workers: set[str]) -> None:
+    def _wake_sessions(self, workers: set[str]) -> None:
         for name in workers & self.sessions.keys():
             self.sessions[name].wake()
 
     def count_committed(self) -> int:
-        """Returns how many tasks are committed on workers."""
+        """Returns the number of tasks committed on workers."""
         return sum(
             t.phase in COMMITTED_PHASES for t in self.ledger.tasks.values()
         )
--- a/lentilmount/batch/retention.py
+++ b/lentilmount/batch/retention.py
@@ -1,4 +1,4 @@
-"""Forgets jobs that ended long ago, a few at a time."""
+"""Deletes the rows of jobs that ended long ago, a page at a time."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class RetentionOptions:
-    """How long what is over is kept.
+    """Options of the retention of ended jobs.
 
     Attributes:
-      kept_seconds: How long a job that is over can still be read.
-      step_seconds: Between two looks.
-      page: Rows read at each look; two are written for each that is old.
+      kept_seconds: Time that an ended job can still be read.
+      step_seconds: Interval between two steps.
+      page: Rows read in a step; two are written for each expired one.
     """
 
     kept_seconds: float = 7 * 86400.0
@@ -40,16 +40,17 @@
 
 
 class Retention:
-    """Goes round the rows of a slice's ended jobs, a page a step.
+    """Scans the ended jobs of a slice in turn and deletes expired ones.
 
-    The name of a job stays taken by a small row, as when an operator deletes
-    the job: sent again by a late retry, it would otherwise run again.
+    The name of a job stays reserved by a small row, as when an operator
+    deletes the job: a late retry of its submission would otherwise run it
+    again.
 
     Args:
-      table: Where the rows are.
-      slice_name: The slice.
-      options: How long to keep what.
-      wall: The clock that the rows' times are read on.
+      table: The table with the rows.
+      slice_name: Name of the slice.
+      options: Options of the retention.
+      wall: Clock of the times in the rows.
     """
 
     def __init__(
@@ -66,29 +67,30 @@
         self._after = ''
 
     async def run(self) -> None:
-        """Forgets until cancelled."""
+        """Runs a step at each interval until cancelled."""
         while True:
             await asyncio.sleep(self._options.step_seconds)
             try:
                 await self.step()
             except (ConflictError, UnavailableError) as error:
-                # An operator deleted one of them, or the table is out; the
-                # next round finds what is left.
-                log.info('Old jobs are kept for now: {}.', error)
+                # An operator deleted one of the jobs, or the table is
+                # unavailable; a later step deletes the remaining ones.
+                log.info('Old jobs are kept until a later step: {}.', error)
 
     async def step(self) -> int:
-        """Looks at one page; returns how many jobs it forgot.
+        """Processes one page; returns the number of jobs deleted.
 
         Raises:
-          ConflictError: Somebody else deleted one of them; none is forgotten.
+          ConflictError: Another writer deleted one of the jobs; none of the
+            page is deleted.
           UnavailableError: The table does not answer.
         """
         page = self._options.page
         partition = f'done/{self._slice_name}'
         rows = await self._table.scan(partition, self._after, page)
         self._after = rows[-1].key.sort if len(rows) == page else ''
-        before = self._wall() - self._options.kept_seconds
-        old = [row for row in rows if row.body['at'] < before]
+        cutoff = self._wall() - self._options.kept_seconds
+        old = [row for row in rows if row.body['at'] < cutoff]
         if old:
             await self._forget(old)
         return len(old)
@@ -102,6 +104,6 @@
         for key in keys:
             row = jobs.get(key)
             if row is not None and not is_deleted(row):
-                stone = make_stone(self._slice_name)
-                operations.append(Put(key, stone, row.version))
+                tombstone = make_stone(self._slice_name)
+                operations.append(Put(key, tombstone, row.version))
         await commit(self._table, operations, operations[-1].key)
--- a/tests/test_batch_rows.py
+++ b/tests/test_batch_rows.py
@@ -1,4 +1,4 @@
-"""The rows of a slice: unreadable ones, waves, pruning, and their number."""
+"""Tests of a slice's rows: unreadable rows, write rates and deletion."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from stand_ins.cell import SLICE, Cell, CellOptions
 from stand_ins.virtual_time import run_virtual
 
-WAVE = 5000
+BURST = 5000
 
 
 def test_rows_that_cannot_be_read_do_not_stop_a_slice() -> None:
-    """One damaged row stopped all jobs behind it."""
+    """One damaged row blocked all jobs after it in the inbox."""
     clock = ManualClock()
 
     async def work() -> None:
@@ -42,24 +42,24 @@
     run_virtual(work(), clock)
 
 
-def test_a_wave_of_cancellations_is_no_write_storm() -> None:
-    """Urgent jobs waited behind thousands of cancellations."""
+def test_a_burst_of_cancellations_is_rate_limited() -> None:
+    """Urgent jobs were delayed by thousands of cancellations."""
     clock = ManualClock()
 
     async def work() -> None:
         options = CellOptions(workers=4, tick_seconds=1.0)
         async with Cell(clock, options) as cell:
             await cell.wait_for_owner()
-            for number in range(WAVE):
+            for number in range(BURST):
                 await cell.submit(f'job-{number}', 60.0, cores=4.0)
             await asyncio.sleep(60.0)
-            for task in cell.accepted[:WAVE]:
+            for task in cell.accepted[:BURST]:
                 await cell.cancel(task)
             began = clock.now
             await asyncio.sleep(3.0)
             urgent = await cell.submit('u', 1.0, 1.0, Urgency.URGENT)
             asked = clock.now
-            while len(cell.list_done()) < WAVE:
+            while len(cell.list_done()) < BURST:
                 await asyncio.sleep(1.0)
             ran = next(r for r in cell.list_runs() if r.task == urgent)
             assert ran.began - asked < 2.1
@@ -69,13 +69,13 @@
                 for write in cell.table.history
                 if write.at >= began and not write.token.startswith('cancel')
             )
-            assert sum(rows.values()) > 3 * WAVE
+            assert sum(rows.values()) > 3 * BURST
             assert max(rows.values()) <= 600
 
     run_virtual(work(), clock)
 
 
-def test_the_limit_is_paid_back_over_time() -> None:
+def test_the_write_limiter_recovers_over_time() -> None:
     clock = ManualClock()
     pace = WriteLimiter(100.0, 200.0, clock.monotonic)
     pace.spend(300)
@@ -84,8 +84,8 @@
     assert pace.is_open
 
 
-def test_the_change_log_is_pruned_and_readers_are_told() -> None:
-    """The log keeps its newest entries; `oldest` tells who has missed some."""
+def test_the_change_log_is_pruned_and_its_oldest_entry_published() -> None:
+    """The log keeps its newest entries; `oldest` shows which were deleted."""
     clock = ManualClock()
 
     async def work() -> None:
@@ -108,8 +108,8 @@
     run_virtual(work(), clock)
 
 
-def test_old_jobs_are_forgotten_but_not_their_names() -> None:
-    """Jobs that ended before the set time go, a page at a step."""
+def test_old_jobs_are_deleted_but_their_names_stay_reserved() -> None:
+    """Jobs that ended before the retention time are deleted page by page."""
     clock = ManualClock()
 
     async def work() -> None:
@@ -118,8 +118,8 @@
                 await cell.submit(f'job-{number}', 1.0)
             assert await cell.finish()
             options = RetentionOptions(kept_seconds=60.0, page=4)
-            young = Retention(cell.table, SLICE, options)
-            assert await young.step() == 0
+            recent = Retention(cell.table, SLICE, options)
+            assert await recent.step() == 0
             late = time.time() + 61.0
             old = Retention(cell.table, SLICE, options, lambda: late)
             assert [await old.step(), await old.step()] == [4, 2]
@@ -131,8 +131,8 @@
     run_virtual(work(), clock)
 
 
-def test_what_waited_for_the_store_is_worked_off_in_order() -> None:
-    """After an outage urgent jobs waited behind batch."""
+def test_jobs_queued_during_an_outage_start_in_order() -> None:
+    """After a table outage urgent jobs were delayed by batch jobs."""
     clock = ManualClock()
 
     async def work() -> None:
