--- a/lentilmount/batch/checkpoints.py
+++ b/lentilmount/batch/checkpoints.py
@@ -1,8 +1,8 @@
-"""The newest checkpoints that a worker reported, and which are recorded.
+"""Tracks the newest checkpoints of a worker's attempts and records them.
 
-Load pattern: every attempt reports a checkpoint every few seconds. Written at
-each report they would be a storm of writes; never written, progress is lost
-when a worker and the owner of its slice are lost together.
+Load pattern: every attempt reports a checkpoint every few seconds. Writing
+each of them would overload the table; writing none would lose progress when a
+worker and the owner of its slice fail together.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from lentilmount.batch.states import COMMITTED_PHASES
 from lentilmount.upstream.workers import AttemptReport
 
-NOTE_CHECKPOINT_SECONDS = 300.0
-"""How often a task's newest checkpoint is recorded in the table."""
+RECORD_INTERVAL_SECONDS = 300.0
+"""Interval at which a task's newest checkpoint is recorded in the table."""
 
 
 @attrs.define
 class Checkpoints:
-    """Knows the newest checkpoint of each attempt on one worker."""
+    """The newest checkpoint of each attempt on one worker."""
 
     _newest: dict[AttemptKey, str] = attrs.Factory(dict)
-    _noted: dict[AttemptKey, float] = attrs.Factory(dict)
+    _interval_started_at: dict[AttemptKey, float] = attrs.Factory(dict)
 
     def update(self, reports: Iterable[AttemptReport]) -> None:
-        """Takes in what a worker reported."""
+        """Updates the checkpoints from a worker's reports."""
         for report in reports:
             if report.checkpoint:
                 self._newest[(report.task, report.attempt)] = report.checkpoint
@@ -38,24 +38,24 @@
         """Returns an attempt's newest checkpoint, or ''."""
         return self._newest.get(key, '')
 
-    def list_due(self, held: Iterable[Task], now: float) -> list[Task]:
-        """Lists the tasks whose checkpoint is to be recorded now.
+    def list_due(self, committed: Iterable[Task], now: float) -> list[Task]:
+        """Returns the tasks whose checkpoint should be recorded now.
 
         Args:
-          held: The tasks on the worker.
+          committed: The tasks on the worker.
           now: Monotonic time.
         """
         due = []
-        for task in held:
+        for task in committed:
             key = (task.id, task.attempt)
-            since = self._noted.setdefault(key, now)
+            since = self._interval_started_at.setdefault(key, now)
             is_new = self.get(key) not in ('', task.checkpoint)
-            if is_new and now - since >= NOTE_CHECKPOINT_SECONDS:
+            if is_new and now - since >= RECORD_INTERVAL_SECONDS:
                 due.append(task)
         return due
 
     def record(self, draft: Draft, due: list[Task], now: float) -> None:
-        """Records the newest checkpoints of tasks, as far as they fit."""
+        """Adds the newest checkpoints of tasks to a draft until it is full."""
         for task in due:
             key = (task.id, task.attempt)
             current = draft.get_task(task.id)
@@ -67,10 +67,10 @@
                 continue
             if current.attempt == task.attempt:
                 draft.set_checkpoint(current, self._newest[key])
-                self._noted[key] = now
+                self._interval_started_at[key] = now
 
     def discard_others(self, known: Collection[AttemptKey]) -> None:
-        """Forgets all attempts but these."""
-        for kept in (self._newest, self._noted):
+        """Discards the checkpoints of all attempts except the given ones."""
+        for kept in (self._newest, self._interval_started_at):
             for key in [key for key in kept if key not in known]:
                 del kept[key]
--- a/lentilmount/batch/reports.py
+++ b/lentilmount/batch/reports.py
@@ -1,4 +1,4 @@
-"""What a worker's report means for the tasks committed on it."""
+"""Applies a worker's reports to the tasks committed on it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 """A task's id and the number of an attempt."""
 
 HandleFailure = Callable[[Task, str], bool]
-"""Told of a failure on a worker, tells whether to give the job up."""
+"""Records a task's failure on a worker; returns whether to give the job up."""
 
-_MOVES_BY_STATE = {
+_TRANSITIONS_BY_STATE = {
     AttemptState.RUNNING: Transition.STARTED,
     AttemptState.FINISHED: Transition.FINISH,
     AttemptState.FAILED: Transition.FAIL,
@@ -28,7 +28,7 @@
 
 
 def requires_transition(task: Task, report: AttemptReport) -> bool:
-    """Tells whether a report of a task's attempt calls for a move."""
+    """Returns whether a report of a task's attempt requires a transition."""
     if report.state is not AttemptState.RUNNING:
         return True
     return task.phase is Phase.STARTING
@@ -41,10 +41,17 @@
     worker: str,
     handle_failure: HandleFailure,
 ) -> None:
-    """Makes the move that a report calls for, if it is of the current attempt.
+    """Applies the transition for a report if it is of the current attempt.
 
-    A report of an earlier attempt changes nothing, so that an attempt that
-    was given up and finished all the same commits no output.
+    Reports of earlier attempts are ignored, so that an attempt that finishes
+    after it was given up commits no output.
+
+    Args:
+      draft: The transaction to change.
+      task_id: Id of the task.
+      report: The worker's report.
+      worker: Name of the worker.
+      handle_failure: Records a failure; returns whether to give the job up.
     """
     task = draft.get_task(task_id)
     if task is None or task.attempt != report.attempt:
@@ -55,22 +62,22 @@
         if task.phase is Phase.STARTING:
             draft.transition(task, Transition.STARTED, endpoint=report.endpoint)
         return
-    move = _MOVES_BY_STATE[report.state]
-    if move is Transition.STOPPED and task.phase not in STOPPING:
-        move = Transition.LOST
-    if move is Transition.FAIL:
-        hopeless = handle_failure(task, worker)
-        _apply_failure(draft, task, report, worker, hopeless)
+    transition = _TRANSITIONS_BY_STATE[report.state]
+    if transition is Transition.STOPPED and task.phase not in STOPPING:
+        transition = Transition.LOST
+    if transition is Transition.FAIL:
+        gives_up = handle_failure(task, worker)
+        _apply_failure(draft, task, report, worker, gives_up)
         return
-    evicted = move in (Transition.STOPPED, Transition.LOST)
+    evicted = transition in (Transition.STOPPED, Transition.LOST)
     draft.transition(
         task,
-        move,
-        output=report.output if move is Transition.FINISH else '',
+        transition,
+        output=report.output if transition is Transition.FINISH else '',
         checkpoint=report.checkpoint or task.checkpoint,
         evictions=task.evictions + evicted,
         reason=(report.message or 'lease lapsed')
-        if move is Transition.LOST
+        if transition is Transition.LOST
         else task.reason,
     )
 
@@ -80,11 +87,11 @@
     task: Task,
     report: AttemptReport,
     worker: str,
-    hopeless: bool,
+    gives_up: bool,
 ) -> None:
     draft.transition(
         task,
-        Transition.GIVE_UP if hopeless else Transition.FAIL,
+        Transition.GIVE_UP if gives_up else Transition.FAIL,
         failed_on=(*task.failed_on, worker),
         reason=report.message,
         checkpoint=report.checkpoint or task.checkpoint,
@@ -92,15 +99,15 @@
 
 
 def update_worker(draft: Draft, name: str, answer: SyncAnswer) -> None:
-    """Takes over a worker's boot, capacity and leaving mark where changed."""
+    """Updates a worker's boot, capacity and leaving flag from its answer."""
     record = draft.get_worker(name)
-    # A mark of leaving stays for the boot that it was about.
-    stays = record.leaving and record.boot in ('', answer.boot)
-    fresh = attrs.evolve(
+    # The leaving flag stays set until the worker reboots.
+    is_leaving = record.leaving and record.boot in ('', answer.boot)
+    updated = attrs.evolve(
         record,
         boot=answer.boot,
         capacity=answer.capacity,
-        leaving=answer.leaving or stays,
+        leaving=answer.leaving or is_leaving,
     )
-    if fresh != record:
-        draft.set_worker(fresh)
+    if updated != record:
+        draft.set_worker(updated)
--- a/lentilmount/batch/worker_commands.py
+++ b/lentilmount/batch/worker_commands.py
@@ -1,4 +1,4 @@
-"""What a worker is told: starts, renewals, stops, and single orders."""
+"""Builds the commands for a worker: starts, renewals, stops and others."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 )
 
 LAST_CHECKPOINT_SHARE = 0.1
-"""Share of the promise before its end in which tasks save a checkpoint."""
+"""Last share of the offline renewal time, in which tasks save a checkpoint."""
 
 
 @attrs.frozen
 class SessionOptions:
-    """Times of the leases that workers hold tasks under.
+    """Intervals and lease durations of the sessions with workers.
 
     Attributes:
-      sync_seconds: How often a worker is called when nothing happens.
-      lease_seconds: How long a task runs on without renewal.
-      start_seconds: How late a start may take effect.
-      offline_renewal_seconds: How long leases are renewed without the table.
-      usage_seconds: Between two readings of a worker's measurements.
+      sync_seconds: Interval of calls to an idle worker.
+      lease_seconds: Duration of a task lease.
+      start_seconds: Time after which a delayed start command has no effect.
+      offline_renewal_seconds: Time that task leases are renewed while the
+        slice's own lease cannot be renewed in the table.
+      usage_seconds: Interval between two readings of a worker's measurements.
     """
 
     sync_seconds: float = 2.0
@@ -43,8 +44,14 @@
 
 
 @attrs.define
-class Anchor:
-    """The worker's clock, as last read: at `local` it showed `remote`."""
+class ClockSample:
+    """A reading of a worker's clock.
+
+    Attributes:
+      boot: The worker's boot.
+      remote: Time on the worker's clock in seconds.
+      local: Monotonic time of the reading.
+    """
 
     boot: str
     remote: float
@@ -52,66 +59,73 @@
 
 
 class WorkerCommands:
-    """Builds the commands for one worker, and keeps what was sent.
+    """Builds the commands for one worker and tracks unanswered ones.
 
     Args:
-      lease: The slice's lease, under which tasks are renewed.
-      options: Times of the leases of tasks.
+      lease: The slice's lease.
+      options: Intervals and lease durations.
 
     Attributes:
-      clock_sample: The worker's clock, once it has answered.
-      ending: Attempts that are being given up. They get no command any more:
-        the transaction may apply at any later time, so a worker that comes
-        back meanwhile must not begin or go on with them.
+      clock_sample: Last reading of the worker's clock, or None before its first
+        answer.
+      ending: Attempts that are being given up. No more commands are sent for
+        them: the transaction may be applied at any later time, so a worker
+        that becomes reachable meanwhile must not start or continue them.
       refused: Attempts that the worker refused to start.
     """
 
     def __init__(self, lease: Lease, options: SessionOptions):
-        self.clock_sample: Anchor | None = None
+        self.clock_sample: ClockSample | None = None
         self.ending: set[AttemptKey] = set()
         self.refused: set[AttemptKey] = set()
         self._lease = lease
         self._options = options
         self._commands: dict[tuple[Action, str, int], Command] = {}
-        # When each start was last sent, while it may still take effect.
+        # Monotonic time when each start was last sent.
         self._starts: dict[AttemptKey, float] = {}
-        self._saved: dict[AttemptKey, float] = {}
+        self._last_checkpoints: dict[AttemptKey, float] = {}
 
     def add(self, command: Command) -> None:
-        """Keeps a command until it is answered; see `WorkerSession.send`."""
+        """Adds a command, sent until answered; see `WorkerSession.send`."""
         key = (command.action, command.task, command.attempt)
         self._commands[key] = command
 
     def handle_answer(
         self, request: SyncRequest, answer: SyncAnswer, now: float
     ) -> None:
-        """Takes in the worker's clock and the outcomes of commands."""
-        self.clock_sample = Anchor(answer.boot, answer.clock, now)
+        """Processes the worker's clock and the outcomes of commands.
+
+        Args:
+          request: The request that was answered.
+          answer: The worker's answer.
+          now: Monotonic time of the answer.
+        """
+        self.clock_sample = ClockSample(answer.boot, answer.clock, now)
         for command, outcome in zip(
             request.commands, answer.outcomes, strict=False
         ):
-            self._take_outcome(command, outcome)
+            self._handle_outcome(command, outcome)
 
-    def _take_outcome(self, command: Command, outcome: Outcome) -> None:
+    def _handle_outcome(self, command: Command, outcome: Outcome) -> None:
         attempt = (command.task, command.attempt)
         if command.action is Action.START and outcome is Outcome.REFUSED:
             self.refused.add(attempt)
-        order = (command.action, *attempt)
-        sent = self._commands.get(order)
+        key = (command.action, *attempt)
+        sent = self._commands.get(key)
         if sent is not None and sent.share == command.share:
-            del self._commands[order]
+            del self._commands[key]
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing but renewals is to be told."""
+        """Whether no commands other than renewals are pending."""
         return not (self._commands or self.ending)
 
     def get_lease_end(self, now: float) -> float:
-        """Returns when a renewed lease ends, on the worker's clock."""
+        """Returns the end of a lease renewed now, on the worker's clock."""
         return self._read_clock(now) + self._options.lease_seconds
 
     def get_latest_expiry(self, now: float) -> float:
-        """Returns when the leases given now will surely have ended."""
+        """Returns the monotonic time by which leases granted now have ended."""
         age = now - self.clock_sample.local if self.clock_sample else 0.0
         lease = self._options.lease_seconds + age * CLOCK_DRIFT
         return now + lease * (1 + CLOCK_DRIFT)
@@ -119,17 +133,22 @@
     def make_commands(
         self, tasks: Iterable[Task], now: float
     ) -> tuple[Command, ...]:
-        """Returns what to tell the worker of the tasks committed on it."""
+        """Returns the commands to send now.
+
+        Args:
+          tasks: The tasks committed on the worker.
+          now: Monotonic time.
+        """
         commands = [
             command
             for task in tasks
             for command in self._make_commands(task, now)
         ]
-        # An order that is delayed on its way must not undo a later one.
-        late = self._read_clock(now) + self._options.start_seconds
+        # A delayed command must not override a later one.
+        latest_start = self._read_clock(now) + self._options.start_seconds
         commands += [
-            attrs.evolve(order, not_after=order.not_after or late)
-            for order in self._commands.values()
+            attrs.evolve(pending, not_after=pending.not_after or latest_start)
+            for pending in self._commands.values()
         ]
         return tuple(commands)
 
@@ -140,9 +159,9 @@
     def _make_commands(self, task: Task, now: float) -> list[Command]:
         assert self.clock_sample is not None
         key = (task.id, task.attempt)
-        # An attempt belongs to one boot of its worker. After a restart the
-        # table will be told that it is over; started on the new boot, it
-        # would go on there after that.
+        # An attempt belongs to one boot of its worker. After a restart of the
+        # worker the attempt is recorded as lost; started on the new boot, it
+        # would keep running after that.
         if key in self.ending or task.boot != self.clock_sample.boot:
             return []
         if task.phase in STOPPING:
@@ -184,45 +203,58 @@
         ]
 
     def _may_renew(self, now: float) -> bool:
-        # A store outage must not disturb running work, but a new owner that
-        # cannot reach the worker waits out just this promise. A start is
-        # bound by it as well: a daemon that was paused, or cut off from the
-        # table, would else start what was given up long ago.
+        # A table outage must not interrupt running tasks, so leases are
+        # renewed without it, but only for a limited time: a new owner waits
+        # that long for a worker that it cannot reach. Starts have the same
+        # limit, since a daemon that was paused or cut off from the table would
+        # otherwise start attempts given up long ago.
         renewed_at = self._lease.renewed_at
         return now < renewed_at + self._options.offline_renewal_seconds
 
     def _choose_renewal(self, task: Task, now: float) -> Action:
-        # Before the promise ends each task saves what it has, once, so that
-        # it resumes from there when the table is back.
+        # Shortly before offline renewal ends each task saves one checkpoint, to
+        # resume from it when the table is available again.
         renewed_at = self._lease.renewed_at
         key = (task.id, task.attempt)
         if (
             self.is_before_last_checkpoint(now)
             or task.is_service
-            or self._saved.get(key) == renewed_at
+            or self._last_checkpoints.get(key) == renewed_at
         ):
             return Action.RENEW
-        self._saved[key] = renewed_at
+        self._last_checkpoints[key] = renewed_at
         return Action.CHECKPOINT
 
     def is_before_last_checkpoint(self, now: float) -> bool:
-        """Tells whether the promise's end is too far off to save for it."""
-        promise = self._options.offline_renewal_seconds * (
+        """Returns whether it is too early to save the last checkpoints."""
+        early_seconds = self._options.offline_renewal_seconds * (
             1 - LAST_CHECKPOINT_SHARE
         )
-        return now < self._lease.renewed_at + promise
+        return now < self._lease.renewed_at + early_seconds
 
     def may_still_start(self, key: AttemptKey, sent_at: float) -> bool:
-        """Tells whether a copy of an attempt's start could take effect."""
+        """Returns whether a delayed copy of a start could still take effect.
+
+        Args:
+          key: The attempt.
+          sent_at: Monotonic time when the answered request was sent.
+        """
         if key not in self._starts:
             return False
         limit = self._options.start_seconds * (1 + 2 * CLOCK_DRIFT)
         return sent_at <= self._starts[key] + limit
 
-    def forget(self, held: set[AttemptKey], known: set[AttemptKey]) -> None:
-        """Drops what was kept of attempts that are over."""
-        self.ending &= held
-        self.refused &= held
-        for kept in (self._saved, self._starts):
+    def forget(
+        self, committed: set[AttemptKey], known: set[AttemptKey]
+    ) -> None:
+        """Discards the state of attempts that have ended.
+
+        Args:
+          committed: Attempts committed on the worker.
+          known: Attempts committed on the worker or reported by it.
+        """
+        self.ending &= committed
+        self.refused &= committed
+        for kept in (self._last_checkpoints, self._starts):
             for key in [key for key in kept if key not in known]:
                 del kept[key]
--- a/lentilmount/batch/worker_session.py
+++ b/lentilmount/batch/worker_session.py
@@ -1,7 +1,7 @@
-"""The link to one worker: leases renewed, orders sent, reports read.
+"""Session with one worker: renews leases, sends commands and processes reports.
 
-Each link is one task, written straight down: wait, build the commands from
-the ledger, send them, take in the answer.
+Each session runs as one asyncio task that waits, builds the commands from the
+slice's rows, sends them, and processes the response.
 """
 
 from __future__ import annotations
@@ -41,18 +41,29 @@
 )
 from lentilmount.waiting import wait_with_timeout
 
-STOPPING_SECONDS = 0.2
-"""How often a worker is called while it stops something: urgent work waits
-for the room, and a worker takes a moment to save a checkpoint."""
+STOPPING_SYNC_SECONDS = 0.2
+"""Interval of calls to a worker while it stops an attempt.
+
+Urgent tasks wait for its resources while the worker saves a checkpoint.
+"""
 
 
 class WorkerSession:
-    """One worker's link, for as long as this daemon holds the slice.
+    """Session with one worker, used while this daemon owns the slice.
+
+    Args:
+      name: Name of the worker.
+      ledger: The slice's rows.
+      workers: Client for the workers.
+      options: Timeouts and intervals.
+      monotonic: Clock for durations.
+      on_change: Called after a report changed the rows.
+      handle_failure: Records a failed attempt; returns whether to give it up.
 
     Attributes:
-      name: The worker.
-      reachable: Whether the last call was answered.
-      usage: What the worker last reported its tasks to use.
+      name: Name of the worker.
+      reachable: Whether the worker answered the last call.
+      usage: The last reported measurements of the tasks' resource usage.
     """
 
     def __init__(
@@ -75,20 +86,20 @@
         self._on_change = on_change
         self._handle_failure = handle_failure
         self._commands = WorkerCommands(ledger.lease, options)
-        self._view = WorkerState(options.usage_seconds)
-        self._held: list[Task] = []
-        self._held_at = -1
+        self._worker_state = WorkerState(options.usage_seconds)
+        self._committed: list[Task] = []
+        self._committed_generation = -1
         self._wake = asyncio.Event()
-        self._intake: asyncio.Task[None] | None = None
+        self._report_task: asyncio.Task[None] | None = None
         self._checkpoints = Checkpoints()
-        # Until these times a task on the worker may be running under a lease
-        # that a former owner gave, or that this one gave. A former owner may
-        # renew up to the end of its promise, until the worker has seen our
-        # epoch and refuses it.
-        self._others_horizon = monotonic() + (
+        # Until these times a task may be running on the worker under a lease
+        # from a previous owner or from this one. A previous owner may renew
+        # until its offline renewal ends, or until the worker has received
+        # this owner's epoch and rejects older ones.
+        self._previous_leases_end = monotonic() + (
             ledger.offline_renewal_seconds + ledger.task_lease_seconds
         ) * (1 + CLOCK_DRIFT)
-        self._own_horizon = 0.0
+        self._own_leases_end = 0.0
         self._is_fenced = False
 
     @property
@@ -97,18 +108,18 @@
         return self._ledger.workers[self.name]
 
     def wake(self) -> None:
-        """Makes the link call now."""
+        """Calls the worker immediately."""
         self._wake.set()
 
     def send(self, command: Command) -> None:
-        """Sends a command with the next call, and again until answered.
+        """Adds a command to the next calls until one is answered.
 
-        A newer command of the same kind for the same attempt replaces it.
+        A newer command of the same action for the same attempt replaces it.
         """
         self._commands.add(command)
 
     async def run(self) -> None:
-        """Keeps the link until cancelled.
+        """Calls the worker periodically until cancelled.
 
         Raises:
           LeaseLostError: Another daemon holds the slice.
@@ -116,69 +127,73 @@
         try:
             while True:
                 await self._synchronize()
-                await wait_with_timeout(self._wake, self._pause())
+                await wait_with_timeout(self._wake, self._get_interval())
                 self._wake.clear()
                 self._raise_failure()
         finally:
-            if self._intake is not None:
-                self._intake.cancel()
+            if self._report_task is not None:
+                self._report_task.cancel()
 
-    def _pause(self) -> float:
-        # While the table does not answer, nothing is gained by asking often.
-        waits = self._is_taking_in()
-        stopping = any(task.phase in STOPPING for task in self.list_held())
+    def _get_interval(self) -> float:
+        # While a report is waiting for the table, frequent calls are useless.
+        is_processing = self._is_processing()
+        stopping = any(task.phase in STOPPING for task in self.list_committed())
         pause = self._options.sync_seconds
-        return min(pause, STOPPING_SECONDS) if stopping and not waits else pause
+        return (
+            min(pause, STOPPING_SYNC_SECONDS)
+            if stopping and not is_processing
+            else pause
+        )
 
     async def _synchronize(self) -> None:
         sent_at = self._monotonic()
         request = self._make_request(sent_at)
         if request.extends_leases:
-            own = self._commands.get_latest_expiry(sent_at)
-            self._own_horizon = max(self._own_horizon, own)
+            expiry = self._commands.get_latest_expiry(sent_at)
+            self._own_leases_end = max(self._own_leases_end, expiry)
         try:
             answer = await self._workers.sync(self.record.address, request)
         except WorkerError:
             self.reachable = False
-            horizon = max(self._own_horizon, self._others_horizon)
-            if self._monotonic() > horizon:
-                self._spawn(self._give_up())
+            leases_end = max(self._own_leases_end, self._previous_leases_end)
+            if self._monotonic() > leases_end:
+                self._start_processing(self._give_up_tasks())
             return
-        answer = self._view.add_omitted_attempts(answer)
-        self._take_answer(request, answer)
+        answer = self._worker_state.add_omitted_attempts(answer)
+        self._handle_answer(request, answer)
         if request.renew_until and request.seen != answer.version:
-            # The worker renewed nothing, as its attempts had changed.
+            # The worker renewed no lease, because its attempts had changed.
             self.wake()
-        elif request.renew_until and not self._has_news(answer, sent_at):
+        elif request.renew_until and not self._must_process(answer, sent_at):
             return
-        self._spawn(self._take_in(answer, sent_at))
+        self._start_processing(self._process_report(answer, sent_at))
 
-    def _has_news(self, answer: SyncAnswer, now: float) -> bool:
+    def _must_process(self, answer: SyncAnswer, now: float) -> bool:
         self._checkpoints.update(answer.attempts)
-        due = self._checkpoints.list_due(self.list_held(), now)
-        return bool(due) or self._has_changed(answer)
+        due = self._checkpoints.list_due(self.list_committed(), now)
+        return bool(due) or self._has_worker_changed(answer)
 
-    def _take_answer(self, request: SyncRequest, answer: SyncAnswer) -> None:
+    def _handle_answer(self, request: SyncRequest, answer: SyncAnswer) -> None:
         now = self._monotonic()
         if not self._is_fenced:
-            # The worker has our epoch now and refuses former owners; the
-            # last lease that one of them gave it ends within a lease's time.
+            # The worker knows this owner's epoch now and rejects previous
+            # owners; the last lease from one of them ends within its duration.
             self._is_fenced = True
             lease = self._ledger.task_lease_seconds
-            self._others_horizon = now + lease * (1 + 2 * CLOCK_DRIFT)
+            self._previous_leases_end = now + lease * (1 + 2 * CLOCK_DRIFT)
         self._commands.handle_answer(request, answer, now)
         if request.with_usage:
             self.usage = answer.usage
-            self._view.record_usage_read(now)
+            self._worker_state.record_usage_read(now)
         if not self.reachable:
             self.reachable = True
             self.wake()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        # Taking a report in waits for the table. Leases must be renewed
-        # meanwhile, or an outage of the table would end running tasks; the
-        # worker repeats its report, so one that comes too early is dropped.
-        if self._is_taking_in():
+    def _start_processing(self, work: Coroutine[Any, Any, None]) -> None:
+        # Processing a report waits for the table. Leases must be renewed
+        # meanwhile, or a table outage would end running tasks. The worker
+        # repeats its report, so one that arrives during this time is dropped.
+        if self._is_processing():
             work.close()
             return
         try:
@@ -186,52 +201,54 @@
         except BaseException:
             work.close()
             raise
-        self._intake = asyncio.create_task(work)
+        self._report_task = asyncio.create_task(work)
 
-    def _is_taking_in(self) -> bool:
-        return self._intake is not None and not self._intake.done()
+    def _is_processing(self) -> bool:
+        return self._report_task is not None and not self._report_task.done()
 
     def _raise_failure(self) -> None:
-        intake, self._intake = self._intake, None
-        if intake is not None and intake.done():
-            intake.result()
+        report_task, self._report_task = self._report_task, None
+        if report_task is not None and report_task.done():
+            report_task.result()
         else:
-            self._intake = intake
+            self._report_task = report_task
 
     def _make_request(self, now: float) -> SyncRequest:
         epoch = self._ledger.lease.epoch
         scope = self._ledger.slice_name
-        anchor = self._commands.clock_sample
-        # A worker that did not answer gets an empty call first: renewals that
-        # it may or may not receive would put off for ever the time when its
-        # tasks have surely lapsed and can be placed elsewhere.
-        if anchor is None or not self.reachable:
+        clock_sample = self._commands.clock_sample
+        # A worker that did not answer first gets a call without renewals:
+        # renewals of unknown outcome would postpone forever the time when its
+        # leases have surely expired and its tasks can be placed elsewhere.
+        if clock_sample is None or not self.reachable:
             return SyncRequest(scope, epoch, with_usage=False)
         commands: tuple[Command, ...] = ()
         renew_until = 0.0
         if self._is_steady(now):
             renew_until = self._commands.get_lease_end(now)
         else:
-            commands = self._commands.make_commands(self.list_held(), now)
-        return self._view.make_request(scope, epoch, commands, renew_until, now)
+            commands = self._commands.make_commands(self.list_committed(), now)
+        return self._worker_state.make_request(
+            scope, epoch, commands, renew_until, now
+        )
 
     def _is_steady(self, now: float) -> bool:
-        orders = self._commands
-        if not orders.is_empty or not orders.is_before_last_checkpoint(now):
+        commands = self._commands
+        if not commands.is_empty or not commands.is_before_last_checkpoint(now):
             return False
-        if self._is_taking_in():
+        if self._is_processing():
             return False
         generation = self._ledger.generation
-        return self._view.is_steady(self.list_held(), generation)
+        return self._worker_state.is_steady(self.list_committed(), generation)
 
-    def list_held(self) -> list[Task]:
+    def list_committed(self) -> list[Task]:
         """Returns the tasks that are committed on the worker."""
-        if self._held_at != self._ledger.generation:
-            self._held_at = self._ledger.generation
-            self._held = self._find_held()
-        return self._held
+        if self._committed_generation != self._ledger.generation:
+            self._committed_generation = self._ledger.generation
+            self._committed = self._find_committed()
+        return self._committed
 
-    def _find_held(self) -> list[Task]:
+    def _find_committed(self) -> list[Task]:
         return [
             task
             for commitment in self.record.commitments
@@ -240,40 +257,42 @@
             and task.phase in COMMITTED_PHASES
         ]
 
-    async def _take_in(self, answer: SyncAnswer, sent_at: float) -> None:
+    async def _process_report(self, answer: SyncAnswer, sent_at: float) -> None:
         reports = {(r.task, r.attempt): r for r in answer.attempts}
         self._checkpoints.update(answer.attempts)
-        moves = self._find_transitions(answer, reports, sent_at)
-        due = self._checkpoints.list_due(self.list_held(), sent_at)
-        if moves or due or self._has_changed(answer):
-            urgent = any(self._is_urgent(task) for task, _ in moves)
+        relevant = self._find_transitions(answer, reports, sent_at)
+        due = self._checkpoints.list_due(self.list_committed(), sent_at)
+        if relevant or due or self._has_worker_changed(answer):
+            urgent = any(self._is_urgent(task) for task, _ in relevant)
             async with self._ledger.change(urgent=urgent) as draft:
                 update_worker(draft, self.name, answer)
-                self._apply(draft, moves)
+                self._apply(draft, relevant)
                 self._checkpoints.record(draft, due, sent_at)
             self._on_change()
             self.wake()
         self._forget_finished(reports, sent_at)
-        self._clean_up(reports)
+        self._discard_ended(reports)
 
     def _is_urgent(self, task_id: str) -> bool:
-        # What is evicted makes room for something that cannot wait.
+        # Evictions free resources for urgent tasks.
         task = self._ledger.tasks[task_id]
         return task.urgency is Urgency.URGENT or task.phase is Phase.EVICTING
 
     def _apply(
-        self, draft: Draft, moves: list[tuple[str, AttemptReport]]
+        self, draft: Draft, relevant: list[tuple[str, AttemptReport]]
     ) -> None:
-        # What does not fit is reported again with the next call.
-        for task_id, report in moves:
+        # The worker repeats the reports that do not fit into the draft.
+        for task_id, report in relevant:
             if draft.is_full:
                 break
             known = self._checkpoints.get((task_id, report.attempt))
             checkpoint = report.checkpoint or known
-            whole = attrs.evolve(report, checkpoint=checkpoint)
-            apply_report(draft, task_id, whole, self.name, self._handle_failure)
+            full_report = attrs.evolve(report, checkpoint=checkpoint)
+            apply_report(
+                draft, task_id, full_report, self.name, self._handle_failure
+            )
 
-    def _has_changed(self, answer: SyncAnswer) -> bool:
+    def _has_worker_changed(self, answer: SyncAnswer) -> bool:
         record = self.record
         now = (answer.boot, answer.capacity, answer.leaving or record.leaving)
         return now != (record.boot, record.capacity, record.leaving)
@@ -284,30 +303,31 @@
         reports: dict[AttemptKey, AttemptReport],
         sent_at: float,
     ) -> list[tuple[str, AttemptReport]]:
-        moves = []
-        for task in self.list_held():
+        relevant = []
+        for task in self.list_committed():
             report = reports.get((task.id, task.attempt))
             if report is None:
-                report = self._explain_absence(task, answer, sent_at)
+                report = self._report_missing(task, answer, sent_at)
             if report and requires_transition(task, report):
-                moves.append((task.id, report))
-        return moves
+                relevant.append((task.id, report))
+        return relevant
 
-    def _explain_absence(
+    def _report_missing(
         self, task: Task, answer: SyncAnswer, sent_at: float
     ) -> AttemptReport | None:
-        # Another boot holds nothing of the old one. On the same boot, an
-        # attempt that was known to run and is no longer held is over. One
-        # whose start was not yet answered is over once a start still on its
-        # way would come too late to take effect; a start that a former owner
-        # sent has no effect since the worker saw our epoch.
+        # Attempts do not survive a restart of the worker. Within the same
+        # boot, a running attempt that is no longer reported has ended. An
+        # attempt whose start was not yet answered has ended once a delayed
+        # copy of the start would arrive too late to take effect; a start from
+        # a previous owner has no effect after the worker received this
+        # owner's epoch.
         key = (task.id, task.attempt)
-        gone = (
+        has_ended = (
             task.boot != answer.boot
             or task.phase is Phase.RUNNING
             or key in self._commands.ending
         )
-        if gone:
+        if has_ended:
             return AttemptReport(*key, AttemptState.LAPSED)
         if self._commands.may_still_start(key, sent_at):
             return None
@@ -330,24 +350,26 @@
                 continue
             if report.state is AttemptState.RUNNING:
                 self.send(Command(Action.STOP, *key))
-            # Once forgotten, an attempt would be begun again by a copy of
-            # its start that was delayed on the way.
+            # After a forget, a delayed copy of the start command would start
+            # the attempt again.
             elif not self._commands.may_still_start(key, sent_at):
                 self.send(Command(Action.FORGET, *key))
 
-    def _clean_up(self, reports: dict[AttemptKey, AttemptReport]) -> None:
-        held = {(task.id, task.attempt) for task in self.list_held()}
-        known = held | set(reports)
-        self._commands.forget(held, known)
+    def _discard_ended(self, reports: dict[AttemptKey, AttemptReport]) -> None:
+        committed = {(task.id, task.attempt) for task in self.list_committed()}
+        known = committed | set(reports)
+        self._commands.forget(committed, known)
         self._checkpoints.discard_others(known)
 
-    async def _give_up(self) -> None:
-        held = self.list_held()
-        if not held:
+    async def _give_up_tasks(self) -> None:
+        committed = self.list_committed()
+        if not committed:
             return
-        self._commands.ending.update((task.id, task.attempt) for task in held)
+        self._commands.ending.update(
+            (task.id, task.attempt) for task in committed
+        )
         async with self._ledger.change() as draft:
-            for task in held:
+            for task in committed:
                 if draft.is_full:
                     break
                 report = AttemptReport(
--- a/lentilmount/batch/worker_state.py
+++ b/lentilmount/batch/worker_state.py
@@ -1,4 +1,4 @@
-"""What the owner of a slice has of a worker's last report."""
+"""Keeps an owner's last known state of a worker, to shorten sync calls."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 
 
 class WorkerState:
-    """A worker's attempts and measurements, as of its last answers.
+    """A worker's attempts as of its last answers.
 
-    A worker leaves out of its answer what has not changed, and renews all of
-    its attempts at one word: at full size, a call that named each attempt
-    both ways took most of a daemon's processor time and bytes.
+    A worker omits unchanged attempts from its answers and renews all its
+    attempts on a single field of the request: at full scale, calls that named
+    each attempt in both directions took most of a daemon's processor time and
+    bandwidth.
 
     Args:
-      usage_seconds: Between two readings of the worker's measurements.
+      usage_seconds: Interval between two readings of measurements.
     """
 
     def __init__(self, usage_seconds: float):
@@ -39,7 +40,11 @@
         self._steady: tuple[int, int, str] | None = None
 
     def add_omitted_attempts(self, answer: SyncAnswer) -> SyncAnswer:
-        """Returns an answer with the attempts that it left out."""
+        """Returns an answer with the attempts that it omitted.
+
+        Args:
+          answer: The worker's answer.
+        """
         seen = (self._boot, self._version, self._saves)
         if seen == (answer.boot, answer.version, answer.saves):
             return attrs.evolve(answer, attempts=self._reports)
@@ -50,7 +55,7 @@
         return answer
 
     def record_usage_read(self, now: float) -> None:
-        """Takes note that measurements were read."""
+        """Records that measurements were read."""
         self._usage_at = now
         self._usage_version = self._version
 
@@ -62,7 +67,16 @@
         renew_until: float,
         now: float,
     ) -> SyncRequest:
-        """Builds a request that asks for what is not known."""
+        """Returns a request for everything that changed since the last answer.
+
+        Args:
+          scope: Name of the slice.
+          epoch: Epoch of the slice's lease.
+          commands: Commands to send.
+          renew_until: End of the renewed leases on the worker's clock, or 0 to
+            renew none.
+          now: Monotonic time.
+        """
         usage_due = now >= self._usage_at + self._usage_seconds
         return SyncRequest(
             scope,
@@ -75,24 +89,23 @@
             usage_due or self._usage_version != self._version,
         )
 
-    def is_steady(self, held: Sequence[Task], generation: int) -> bool:
-        """Tells whether the worker runs just what the ledger has running.
+    def is_steady(self, committed: Sequence[Task], generation: int) -> bool:
+        """Returns whether the worker runs exactly the committed attempts.
 
-        Then one renewal of everything says all there is to say. The worker
-        obeys it only while its attempts are those of its last report, so it
-        cannot reach one that a delayed start added, or one that the ledger
-        has given up since.
+        Then one renewal of all attempts suffices. The worker applies it only
+        while its attempts are those of its last report, so it cannot renew an
+        attempt that a delayed start added or that was given up since.
 
         Args:
-          held: The tasks that the ledger has on the worker.
-          generation: Of the ledger; nothing is looked at twice.
+          committed: The tasks committed on the worker.
+          generation: Generation of the ledger, to skip repeated comparisons.
         """
         state = (generation, self._version, self._boot)
-        if self._steady != state and self._is_same(held):
+        if self._steady != state and self._matches(committed):
             self._steady = state
         return self._steady == state
 
-    def _is_same(self, held: Sequence[Task]) -> bool:
+    def _matches(self, committed: Sequence[Task]) -> bool:
         reported = {
             (report.task, report.attempt)
             for report in self._reports
@@ -100,8 +113,8 @@
         }
         running = {
             (task.id, task.attempt)
-            for task in held
+            for task in committed
             if task.phase is Phase.RUNNING and task.boot == self._boot
         }
-        whole = len(reported) == len(self._reports) == len(held)
-        return bool(self._version) and whole and reported == running
+        all_running = len(reported) == len(self._reports) == len(committed)
+        return bool(self._version) and all_running and reported == running
