--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -1,4 +1,4 @@
-"""Which slices this daemon owns: taken by lease, run until lost."""
+"""Acquires the leases of slices and runs an owner for each slice held."""
 
 from __future__ import annotations
 
@@ -34,33 +34,33 @@
 log = logbook.Logger('slices')
 
 POLL_SECONDS = 1.0
-FAULT_SECONDS = 5.0
-"""How long a slice is left alone after a fault in its own rows or code."""
+ERROR_PAUSE_SECONDS = 5.0
+"""Pause before a slice is acquired again after an unexpected error."""
 
 ROWS_PER_SECOND = 400.0
-"""Most rows that all slices together write, but for what is urgent."""
+"""Rate limit on writes of all slices together; urgent writes are exempt."""
 
 RELEASED_POLL_SECONDS = 0.02
 
 
 class SliceManager:
-    """Takes, runs and gives up slices.
+    """Acquires, runs and releases slices.
 
     Args:
-      table: Where the slices' leases are.
-      workers: How workers are reached.
-      configuration: What operators declared.
-      membership: Who is there.
-      events: The time line.
-      options: How an owner works.
-      slices_per_zone: Shares into which a zone's workers are split.
-      monotonic: The clock for durations.
-      announce_release: Called when a slice was given up, so that the next
-        owner need not find out by itself.
-      preference: Who should own what; one of its own if not given.
+      table: The table with the slices' leases.
+      workers: Client for the workers.
+      configuration: The operators' configuration.
+      membership: The members that this daemon knows.
+      events: The event log.
+      options: Options of the owners.
+      slices_per_zone: Number of slices that a zone's workers are split into.
+      monotonic: Clock for durations.
+      announce_release: Called with the name of a released slice, to notify
+        the next owner without waiting for its poll.
+      preference: Decides which daemon should own a slice; created if None.
 
     Attributes:
-      owners: The slices that this daemon runs.
+      owners: The owners of the slices that this daemon holds, by slice.
       hosts: The host list as last read.
     """
 
@@ -79,12 +79,12 @@
     ):
         self.owners: dict[str, Owner] = {}
         self.hosts: list[Host] = []
-        self._split_hosts: list[Host] = []
-        self._by_slice: dict[str, list[Host]] = {}
+        self._grouped_hosts: list[Host] = []
+        self._hosts_by_slice: dict[str, list[Host]] = {}
         self._table = table
         self._workers = workers
         self._configuration = configuration
-        self._preference = preference or OwnershipPolicy(
+        self._ownership = preference or OwnershipPolicy(
             membership, OwnershipOptions(options.slices), monotonic
         )
         self._announce_release = announce_release
@@ -95,10 +95,10 @@
         self._options = options
         self._slices_per_zone = slices_per_zone
         self._monotonic = monotonic
-        me = membership.local_member
+        local_member = membership.local_member
         self._keeper = LeaseKeeper(
             table,
-            f'{me.name}/{me.incarnation}',
+            f'{local_member.name}/{local_member.incarnation}',
             options.lease_seconds,
             monotonic,
         )
@@ -112,77 +112,79 @@
         self._stopping = False
 
     async def run(self) -> None:
-        """Looks after every slice until cancelled."""
+        """Acquires and runs slices until cancelled."""
         async with asyncio.TaskGroup() as group:
             for slice_name in self._options.slices:
-                group.create_task(self._look_after(slice_name))
+                group.create_task(self._manage_slice(slice_name))
 
     def stop(self) -> None:
-        """Makes this daemon give its slices up and take no more."""
+        """Releases the slices held and acquires no more."""
         self._stopping = True
         for owner in self.owners.values():
             owner.stop()
 
     async def wait_released(self) -> None:
-        """Waits until every slice that was owned is released."""
+        """Waits until all slices held are released."""
         while self._owning:
             await asyncio.sleep(RELEASED_POLL_SECONDS)
 
     def wake(self, slice_name: str) -> None:
-        """Looks at a slice now: its inbox, or whether it is free."""
+        """Checks a slice now: its inbox if owned, otherwise its lease."""
         if slice_name in self.owners:
             self.owners[slice_name].wake()
         elif slice_name in self._wakes:
             self._wakes[slice_name].set()
 
-    async def _look_after(self, slice_name: str) -> None:
+    async def _manage_slice(self, slice_name: str) -> None:
         while True:
             with contextlib.suppress(UnavailableError):
-                if not self._stopping and await self._is_mine(slice_name):
+                if not self._stopping and await self._should_acquire(
+                    slice_name
+                ):
                     lease = await self._keeper.try_acquire(
                         make_slice_key(slice_name),
-                        lambda told: (
+                        lambda record: (
                             self._ledger_options.extend_offline_renewal(
-                                told.data
+                                record.data
                             )
                         ),
                     )
                     if lease is not None:
-                        await self._own(slice_name, lease)
+                        await self._run_slice(slice_name, lease)
             await wait_with_timeout(self._wakes[slice_name], POLL_SECONDS)
             self._wakes[slice_name].clear()
 
-    async def _is_mine(self, slice_name: str) -> bool:
-        if self._preference.is_preferred(slice_name):
+    async def _should_acquire(self, slice_name: str) -> bool:
+        if self._ownership.is_preferred(slice_name):
             return True
-        if not self._preference.is_candidate(slice_name):
+        if not self._ownership.is_candidate(slice_name):
             return False
         rows = await self._table.read([make_slice_key(slice_name)])
         row = rows.get(make_slice_key(slice_name))
         version = row.version if row else 0
         held = row is not None and bool(row.body['holder'])
         if held and version != self._versions.get(slice_name):
-            self._preference.record_held(slice_name)
+            self._ownership.record_held(slice_name)
         self._versions[slice_name] = version
-        return self._preference.should_acquire(slice_name)
+        return self._ownership.should_acquire(slice_name)
 
     @contextlib.asynccontextmanager
     async def _watch(
         self, slice_name: str, owner: Owner
     ) -> AsyncIterator[None]:
-        task = asyncio.create_task(self._watch_preference(slice_name, owner))
+        task = asyncio.create_task(self._watch_ownership(slice_name, owner))
         try:
             yield
         finally:
             task.cancel()
 
-    async def _watch_preference(self, slice_name: str, owner: Owner) -> None:
-        while not self._preference.should_hand_over(slice_name):
+    async def _watch_ownership(self, slice_name: str, owner: Owner) -> None:
+        while not self._ownership.should_hand_over(slice_name):
             await asyncio.sleep(POLL_SECONDS)
-        log.info('Slice {} goes to a daemon that has fewer.', slice_name)
+        log.info('Slice {} is handed over to the preferred daemon.', slice_name)
         owner.stop()
 
-    async def _own(self, slice_name: str, lease: Lease) -> None:
+    async def _run_slice(self, slice_name: str, lease: Lease) -> None:
         self._owning.add(slice_name)
         try:
             await self._run_owner(slice_name, lease)
@@ -223,15 +225,15 @@
         except* LeaseLostError:
             cause = 'taken by another daemon'
         except* (ConflictError, UnavailableError) as group:
-            # The rows are not as in memory, or could not be read; whoever
-            # owns the slice next reads them again.
+            # The rows differ from the copy in memory or cannot be read; the
+            # next owner loads them again.
             cause = str(group.exceptions[0])
         except* Exception as group:
-            # One slice's fault must not end the daemon: the next daemon would
-            # take the slice, meet the same fault and end as well.
+            # An error in one slice must not end the daemon: the next daemon
+            # would acquire the slice, meet the same error and end as well.
             log.exception('Slice {} failed.', slice_name)
             cause = str(group.exceptions[0])
-            pause = FAULT_SECONDS
+            pause = ERROR_PAUSE_SECONDS
         finally:
             self.owners.pop(slice_name, None)
         await self._keeper.release(ledger.lease)
@@ -242,12 +244,12 @@
         await asyncio.sleep(pause)
 
     def _list_hosts(self, slice_name: str) -> list[Host]:
-        if self._split_hosts is not self.hosts:
-            self._split_hosts = self.hosts
-            self._by_slice.clear()
+        if self._grouped_hosts is not self.hosts:
+            self._grouped_hosts = self.hosts
+            self._hosts_by_slice.clear()
             for host in self.hosts:
-                where = find_worker_slice(
+                host_slice = find_worker_slice(
                     host.zone, host.name, self._slices_per_zone
                 )
-                self._by_slice.setdefault(where, []).append(host)
-        return self._by_slice.get(slice_name, [])
+                self._hosts_by_slice.setdefault(host_slice, []).append(host)
+        return self._hosts_by_slice.get(slice_name, [])
--- a/tests/test_slice_ownership.py
+++ b/tests/test_slice_ownership.py
@@ -1,4 +1,4 @@
-"""Who should own a slice: evenly spread, steady, and never nobody."""
+"""Tests of slice ownership: even spread, few moves, no slice left free."""
 
 from lentilmount.batch.ownership import OwnershipOptions, OwnershipPolicy
 from lentilmount.clock import ManualClock
@@ -32,8 +32,8 @@
     assert len(moved) <= 2 * 10
 
 
-def test_daemons_that_wait_for_each_other_leave_no_slice_free() -> None:
-    """Daemons that wait for each other left a slice free."""
+def test_daemons_with_different_views_leave_no_slice_free() -> None:
+    """Daemons with different views waited for each other forever."""
     clock = ManualClock()
     views = [
         make_preference(clock, me, other, 'gone')[0]
@@ -49,7 +49,7 @@
     assert [sum(some) for some in tries] == [0, 1, 2]
 
 
-def test_a_slice_goes_only_to_who_stays_and_can_take_it() -> None:
+def test_a_slice_is_handed_over_only_to_a_stable_eligible_daemon() -> None:
     clock = ManualClock()
     view, membership = make_preference(clock, 'a')
     (newcomer,) = make_members('b')
@@ -57,8 +57,8 @@
     name = next(s for s in SLICES if not view.is_preferred(s))
     assert not view.should_hand_over(name)
     clock.advance(3.0)
-    ill = Member('b', 'z', 'b', 1, beat=1, eligible=False)
-    membership.observe([ill])
+    ineligible = Member('b', 'z', 'b', 1, beat=1, eligible=False)
+    membership.observe([ineligible])
     assert not view.should_hand_over(name)
     membership.observe([Member('b', 'z', 'b', 1, beat=2)])
     clock.advance(3.0)
