--- a/tests/test_batch_mutations.py
+++ b/tests/test_batch_mutations.py
@@ -1,6 +1,6 @@
-"""Breaks one safeguard at a time and sees the checker name what follows.
+"""Disables one safeguard at a time and expects the checker to detect it.
 
-Each scene also runs with nothing broken, and then no promise is broken.
+Each scenario also runs with all safeguards, and then no guarantee is violated.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 Patch = pytest.MonkeyPatch
 
 
-def find_place(cell: Cell) -> str:
+def find_committed_worker(cell: Cell) -> str:
     """Returns the worker that the newest task is committed on."""
     for daemon in cell.daemons:
         if daemon.owner:
@@ -46,8 +46,8 @@
     raise AssertionError('nothing is placed')
 
 
-async def hold_paused_owner(cell: Cell) -> None:
-    """The owner is paused while jobs end, and wakes under another's epoch."""
+async def resume_paused_owner(cell: Cell) -> None:
+    """The owner is paused while jobs end, and resumes after a takeover."""
     for number in range(4):
         await cell.submit(f'job-{number}', 8.0)
     await asyncio.sleep(4.0)
@@ -59,7 +59,7 @@
 
 
 async def pause_in_commit(cell: Cell) -> None:
-    """The owner is paused with a job's completion in hand."""
+    """The owner is paused while it writes a job's completion."""
     await cell.submit('job', 5.0)
     await asyncio.sleep(4.0)
     old = await cell.wait_for_owner()
@@ -73,19 +73,19 @@
     await asyncio.sleep(10.0)
 
 
-async def cut_one_worker(cell: Cell) -> None:
-    """A worker runs on under its leases, but no daemon reaches it."""
+async def isolate_one_worker(cell: Cell) -> None:
+    """A worker keeps running its leased tasks, but no daemon can reach it."""
     for number in range(3):
         await cell.submit(f'job-{number}', 60.0)
     await asyncio.sleep(20.0)
-    place = find_place(cell)
+    place = find_committed_worker(cell)
     for daemon in cell.daemons:
         daemon.workers.set_down(True, place)
     await asyncio.sleep(30.0)
 
 
 async def repeat_calls(cell: Cell) -> None:
-    """Each call to a worker arrives again three seconds later."""
+    """Each call to a worker is delivered again three seconds later."""
     for daemon in cell.daemons:
         for faults in daemon.workers.faults.values():
             faults.repeat = 1.0
@@ -95,7 +95,7 @@
 
 
 async def cancel_while_saving(cell: Cell) -> None:
-    """Full workers are told to stop, and take a second to save."""
+    """Tasks on full workers are cancelled and take a second to save."""
     cell.objects.delay = 1.0
     for number in range(12):
         await cell.submit(f'job-{number}', 60.0)
@@ -107,8 +107,8 @@
     await asyncio.sleep(20.0)
 
 
-async def strand_start(cell: Cell) -> CellDaemon:
-    """Places a job whose start never arrives; returns its cut-off owner."""
+async def lose_start(cell: Cell) -> CellDaemon:
+    """Places a job whose start command is lost; returns its isolated owner."""
     old = await cell.wait_for_owner()
     old.workers.set_down(True)
     await cell.submit('job', 30.0)
@@ -118,24 +118,24 @@
     return old
 
 
-async def cut_after_takeover(cell: Cell) -> None:
-    """A new owner reaches a worker once; the old one reaches it all along."""
+async def isolate_worker_after_takeover(cell: Cell) -> None:
+    """The new owner reaches a worker only briefly, the old one always."""
     await cell.submit('job', 60.0)
     await asyncio.sleep(4.0)
     old = await cell.wait_for_owner()
     old.pause()
     new = await cell.wait_for_owner(old.name)
     await asyncio.sleep(2.0)
-    new.workers.set_down(True, find_place(cell))
+    new.workers.set_down(True, find_committed_worker(cell))
     old.table.faults.down = True
     old.wake()
     await asyncio.sleep(40.0)
 
 
 async def restart_before_start(cell: Cell) -> None:
-    """A worker restarts before a start arrives, and the table is slow."""
-    old = await strand_start(cell)
-    place = find_place(cell)
+    """A worker restarts before a start command arrives; the table is slow."""
+    old = await lose_start(cell)
+    place = find_committed_worker(cell)
     cell.find_worker(place).restart()
     old.table.faults.down = False
     old.table.faults.delay = 1.9
@@ -145,13 +145,13 @@
     await asyncio.sleep(12.0)
 
 
-async def cut_past_promise(cell: Cell) -> None:
-    """The old owner reaches one worker only, the new one all others."""
+async def isolate_worker_past_promise(cell: Cell) -> None:
+    """The old owner reaches only one worker, the new one only the others."""
     await cell.submit('job', 150.0)
     await asyncio.sleep(4.0)
     old = await cell.wait_for_owner()
     for daemon in cell.daemons:
-        daemon.workers.set_down(daemon is not old, find_place(cell))
+        daemon.workers.set_down(daemon is not old, find_committed_worker(cell))
     old.pause()
     await cell.wait_for_owner(old.name)
     old.table.faults.down = True
@@ -159,11 +159,11 @@
     await asyncio.sleep(110.0)
 
 
-async def finish_out_of_sight(cell: Cell) -> None:
-    """A cut-off worker finishes a job that then runs elsewhere."""
+async def finish_while_unreachable(cell: Cell) -> None:
+    """An unreachable worker finishes a job that is then placed elsewhere."""
     await cell.submit('job', 10.0)
     await asyncio.sleep(4.0)
-    place = find_place(cell)
+    place = find_committed_worker(cell)
     for daemon in cell.daemons:
         daemon.workers.set_down(True, place)
     await asyncio.sleep(22.0)
@@ -172,8 +172,8 @@
     await asyncio.sleep(20.0)
 
 
-async def lose_the_placing(cell: Cell) -> None:
-    """The table goes down while a job is being placed."""
+async def lose_table_while_placing(cell: Cell) -> None:
+    """The table becomes unavailable while a job is being placed."""
     old = await cell.wait_for_owner()
     for daemon in cell.daemons:
         if daemon is not old:
@@ -224,7 +224,7 @@
     skip_versions(patch, '')
 
 
-def break_horizon(patch: Patch) -> None:
+def break_lease_expiry(patch: Patch) -> None:
     patch.setattr(WorkerCommands, 'get_latest_expiry', lambda self, now: now)
 
 
@@ -233,14 +233,14 @@
 
 
 def break_commitment(patch: Patch) -> None:
-    move = Draft.transition
+    transition = Draft.transition
 
     def release(
         self: Draft, task: Task, kind: Transition, **changes: Any
     ) -> Task:
         if kind is Transition.CANCEL and task.worker:
             self.set_worker(self.get_worker(task.worker).release(task))
-        return move(self, task, kind, **changes)
+        return transition(self, task, kind, **changes)
 
     patch.setattr(Draft, 'transition', release)
 
@@ -265,7 +265,7 @@
     patch.setattr(WorkerCommands, '_make_commands', ignore)
 
 
-def break_promise(patch: Patch) -> None:
+def break_offline_renewal(patch: Patch) -> None:
     patch.setattr(WorkerCommands, '_may_renew', lambda *_: True)
 
 
@@ -292,7 +292,7 @@
     patch.setattr(worker_session, 'apply_report', apply_any)
 
 
-def break_unknown_write(patch: Patch) -> None:
+def break_unknown_outcome(patch: Patch) -> None:
     renew = LeaseKeeper.renew
 
     async def guess(self: LeaseKeeper, lease: Lease, *args: Any) -> None:
@@ -304,7 +304,7 @@
     patch.setattr(LeaseKeeper, 'renew', guess)
 
 
-def break_room(patch: Patch) -> None:
+def break_capacity(patch: Patch) -> None:
     patch.setattr(WorkerRecord, 'free', property(lambda w: w.capacity))
 
 
@@ -315,52 +315,56 @@
 CASES = {
     'slice version': (
         break_slice_version,
-        hold_paused_owner,
+        resume_paused_owner,
         checker.FENCED,
     ),
     'versions': (break_all_versions, pause_in_commit, checker.ONCE),
-    'horizon': (break_horizon, cut_one_worker, checker.ONE_PLACE),
+    'horizon': (break_lease_expiry, isolate_one_worker, checker.ONE_PLACE),
     'forget': (break_forget, repeat_calls, checker.ONE_RUN),
     'commitment': (break_commitment, cancel_while_saving, checker.ROOM),
-    'epoch': (break_epoch, cut_after_takeover, checker.ONE_PLACE),
+    'epoch': (break_epoch, isolate_worker_after_takeover, checker.ONE_PLACE),
     'boot': (break_boot, restart_before_start, checker.ONE_PLACE),
-    'promise': (break_promise, cut_past_promise, checker.ONE_PLACE),
-    'attempt': (break_attempt, finish_out_of_sight, checker.TRUE),
+    'promise': (
+        break_offline_renewal,
+        isolate_worker_past_promise,
+        checker.ONE_PLACE,
+    ),
+    'attempt': (break_attempt, finish_while_unreachable, checker.TRUE),
     'unknown write': (
-        break_unknown_write,
-        lose_the_placing,
+        break_unknown_outcome,
+        lose_table_while_placing,
         checker.ONE_PLACE,
     ),
-    'room': (break_room, cancel_while_saving, checker.ROOM),
+    'room': (break_capacity, cancel_while_saving, checker.ROOM),
     'admission': (break_admission, repeat_calls, checker.KEPT),
 }
 
 
-def play(scene: Callable[[Cell], Awaitable[Any]]) -> set[str]:
+def run_scenario(scenario: Callable[[Cell], Awaitable[Any]]) -> set[str]:
     clock = ManualClock()
 
     async def work() -> set[str]:
         async with Cell(clock) as cell:
             await cell.wait_for_owner()
-            await scene(cell)
+            await scenario(cell)
             return {v.promise for v in cell.find_violations()}
 
     return run_virtual(work(), clock)
 
 
 @pytest.mark.parametrize(
-    'scene', dict.fromkeys(case[1] for case in CASES.values())
+    'scenario', dict.fromkeys(case[1] for case in CASES.values())
 )
-def test_a_whole_system_keeps_every_promise(
-    scene: Callable[[Cell], Awaitable[Any]],
+def test_an_unmodified_system_violates_no_guarantee(
+    scenario: Callable[[Cell], Awaitable[Any]],
 ) -> None:
-    assert play(scene) == set()
+    assert run_scenario(scenario) == set()
 
 
 @pytest.mark.parametrize('case', CASES)
-def test_a_broken_safeguard_is_named(
+def test_a_disabled_safeguard_is_detected(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    breaks, scene, promise = CASES[case]
+    breaks, scenario, promise = CASES[case]
     breaks(monkeypatch)
-    assert promise in play(scene)
+    assert promise in run_scenario(scenario)
--- a/tests/test_batch_state_machine.py
+++ b/tests/test_batch_state_machine.py
@@ -1,8 +1,8 @@
-"""The life of tasks and leases as a state machine, under drawn faults.
+"""State machine test of tasks and leases under random faults.
 
-Two daemons drive the real manager, owner, ledger and links against the fakes
-of a cell. After each step the checker holds what truly ran against every
-promise; at the end all faults heal and each job has to come to its end.
+Two daemons run the real manager, owner, ledger and links against the fakes of
+a cell. After each step the checker verifies all guarantees against what
+actually ran; at the end all faults are removed and every job must end.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class BatchMachine(RuleBasedStateMachine):
-    """A cell whose daemons, workers and paths fail as drawn."""
+    """A cell whose daemons, workers and connections fail at random."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,9 +48,9 @@
         async def make() -> Cell:
             return await Cell(self.clock, options).__aenter__()
 
-        self.cell: Cell = self.play(make())
+        self.cell: Cell = self.run_coroutine(make())
 
-    def play(self, work: Coroutine[Any, Any, Any]) -> Any:
+    def run_coroutine(self, work: Coroutine[Any, Any, Any]) -> Any:
         """Runs a coroutine on the cell's loop."""
         return self.runner.run(work)
 
@@ -60,40 +60,40 @@
 
     @initialize()
     def begin(self) -> None:
-        """Lets a daemon take the slice."""
-        self.play(asyncio.sleep(2.0))
+        """Waits for a daemon to acquire the slice."""
+        self.run_coroutine(asyncio.sleep(2.0))
 
     @rule(seconds=strategies.sampled_from([1.0, 10.0, 60.0]))
     def submit(self, seconds: float) -> None:
-        """Accepts a job."""
+        """Submits a job."""
         name = f'job-{len(self.cell.accepted)}'
-        self.play(self.cell.submit(name, seconds))
+        self.run_coroutine(self.cell.submit(name, seconds))
 
     @rule(number=strategies.integers(0, 9))
     def cancel(self, number: int) -> None:
-        """Cancels a job, once."""
+        """Cancels a job that was not cancelled before."""
         tasks = [
             task
             for task in self.cell.accepted
             if task not in self.cell.cancelled
         ]
         if tasks:
-            self.play(self.cell.cancel(tasks[number % len(tasks)]))
+            self.run_coroutine(self.cell.cancel(tasks[number % len(tasks)]))
 
     @rule(seconds=strategies.sampled_from([0.3, 2.5, 6.0, 20.0, 50.0]))
     def wait(self, seconds: float) -> None:
         """Lets time pass."""
-        self.play(asyncio.sleep(seconds))
+        self.run_coroutine(asyncio.sleep(seconds))
 
-    @rule(number=DAEMONS, awake=SWITCH)
-    def pause_daemon(self, number: int, awake: bool) -> None:
-        """Stops a daemon, or lets it go on."""
+    @rule(number=DAEMONS, resume=SWITCH)
+    def pause_daemon(self, number: int, resume: bool) -> None:
+        """Pauses or resumes a daemon."""
         daemon = self.get_daemon(number)
-        daemon.wake() if awake else daemon.pause()
+        daemon.wake() if resume else daemon.pause()
 
     @rule(number=DAEMONS)
     def replace_daemon(self, number: int) -> None:
-        """Kills a daemon and starts another."""
+        """Kills a daemon and starts a new one."""
 
         async def replace() -> None:
             daemon = self.get_daemon(number)
@@ -102,29 +102,29 @@
             self.cell.daemons.remove(daemon)
             self.cell.add_daemon()
 
-        self.play(replace())
+        self.run_coroutine(replace())
 
     @rule(number=DAEMONS, down=SWITCH, late=SWITCH, lose=SHARE)
     def break_table(
         self, number: int, down: bool, late: bool, lose: float
     ) -> None:
-        """Changes a daemon's path to the table."""
+        """Sets the faults of a daemon's connection to the table."""
         faults = self.get_daemon(number).table.faults
         faults.down, faults.late = down, 3.0 if late else 0.0
         faults.lose = min(lose, 0.5)
 
     @rule(number=DAEMONS, worker=WORKERS, down=SWITCH, lose=SHARE, repeat=SHARE)
-    def break_path(
+    def break_worker_connection(
         self, number: int, worker: int, down: bool, lose: float, repeat: float
     ) -> None:
-        """Changes a daemon's path to a worker."""
-        paths = list(self.get_daemon(number).workers.faults.values())
-        paths[worker].down = down
-        paths[worker].lose, paths[worker].repeat = lose, repeat
+        """Sets the faults of a daemon's connection to a worker."""
+        connections = list(self.get_daemon(number).workers.faults.values())
+        connections[worker].down = down
+        connections[worker].lose, connections[worker].repeat = lose, repeat
 
     @rule(worker=WORKERS, paused=SWITCH)
     def pause_worker(self, worker: int, paused: bool) -> None:
-        """Stops a worker, or lets it go on."""
+        """Pauses or resumes a worker."""
         self.cell.workers[worker].paused = paused
 
     @rule(worker=WORKERS)
@@ -134,24 +134,24 @@
 
     @rule(down=SWITCH)
     def break_objects(self, down: bool) -> None:
-        """Takes the object store down, or brings it back."""
+        """Makes the object store unavailable or available."""
         self.cell.objects.down = down
 
     @invariant()
-    def keep_promises(self) -> None:
-        """Holds what happened against every promise."""
+    def check_guarantees(self) -> None:
+        """Checks all guarantees."""
         assert self.cell.find_violations() == []
 
     def teardown(self) -> None:
-        """Heals all, and sees every job come to its end."""
+        """Removes all faults and checks that every job ends."""
         try:
-            self.play(self._end())
-            self.keep_promises()
+            self.run_coroutine(self._remove_faults_and_finish())
+            self.check_guarantees()
         finally:
-            self.play(self.cell.__aexit__())
+            self.run_coroutine(self.cell.__aexit__())
             self.runner.close()
 
-    async def _end(self) -> None:
+    async def _remove_faults_and_finish(self) -> None:
         self.cell.objects.down = False
         for worker in self.cell.workers:
             worker.paused = False
@@ -159,8 +159,12 @@
             daemon.wake()
             daemon.table.faults.down = False
             daemon.table.faults.lose = 0.0
-            for path in daemon.workers.faults.values():
-                path.down, path.lose, path.repeat = False, 0.0, 0.0
+            for connection in daemon.workers.faults.values():
+                connection.down, connection.lose, connection.repeat = (
+                    False,
+                    0.0,
+                    0.0,
+                )
         assert await self.cell.finish(), 'a job did not end'
 
 
