--- a/lentilmount/batch/ledger.py
+++ b/lentilmount/batch/ledger.py
@@ -211,9 +211,10 @@
 
         The copy in memory changes only after the transaction is known to have
         been applied. While the table does not answer, the block waits and so
-        does every other change of the slice. The draft is shared with other
-        callers; if the block raises, its own changes are reverted. Check
-        `is_full` before each transition.
+        does every other change of the slice, so that no unrecorded change
+        takes effect. The draft is shared with other callers; if the block
+        raises, its own changes are reverted. Check `is_full` before each
+        transition.
 
         Args:
           urgent: Whether to bypass the rate limit on writes.
--- a/tests/test_batch_faults.py
+++ b/tests/test_batch_faults.py
@@ -89,10 +89,10 @@
     assert set(count_runs(run_scenario(scenario)).values()) == {1}
 
 
-def test_a_partitioned_zone_keeps_its_tasks_for_the_promise() -> None:
-    """A short partition restarted tasks, or a long one ran them in parallel."""
+def test_a_partitioned_zone_keeps_its_tasks_during_offline_renewal() -> None:
+    """A partition restarted tasks too early, or ran them twice at once."""
 
-    def cut(seconds: float) -> Scenario:
+    def partition(seconds: float) -> Scenario:
         async def scenario(cell: Cell) -> None:
             await submit_jobs(cell, seconds=200.0)
             old = await cell.wait_for_owner()
@@ -109,11 +109,11 @@
 
         return scenario
 
-    assert set(count_runs(run_scenario(cut(50.0))).values()) == {1}
-    assert set(count_runs(run_scenario(cut(100.0))).values()) == {2}
+    assert set(count_runs(run_scenario(partition(50.0))).values()) == {1}
+    assert set(count_runs(run_scenario(partition(100.0))).values()) == {2}
 
 
-def test_a_graceful_stop_withdraws_the_promise() -> None:
+def test_a_graceful_stop_withdraws_offline_renewal() -> None:
     """After a graceful stop the next owner waited for the old renewals."""
 
     async def scenario(cell: Cell) -> None:
@@ -220,7 +220,7 @@
     assert set(count_runs(cell).values()) == {1}
 
 
-def test_a_table_outage_beyond_the_promise_ends_in_checkpoints() -> None:
+def test_a_table_outage_beyond_offline_renewal_ends_in_checkpoints() -> None:
     """A table outage beyond the offline renewal time lost work."""
 
     async def scenario(cell: Cell) -> None:
