--- a/lentilmount/scheduling/__init__.py
+++ b/lentilmount/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on jobs, tasks and workers; nothing here uses the network."""
+"""Scheduling decisions on jobs, tasks and workers; uses no network."""
--- a/lentilmount/scheduling/cluster.py
+++ b/lentilmount/scheduling/cluster.py
@@ -1,8 +1,8 @@
-"""What the owner of a service knows, and how it changes.
+"""In-memory state of the jobs, tasks and workers of one service.
 
-The book is the only place where a task changes its phase. Workers' own lists
-are the truth about what runs: the book follows them, and only a worker's list
-or a lease that has surely lapsed frees what a task takes.
+All phase changes of tasks go through `ClusterState`. The reports of workers are
+the source of truth about what runs: only a report, or a lease that has
+certainly expired, releases the resources of a task.
 """
 
 from __future__ import annotations
@@ -25,33 +25,37 @@
 )
 from lentilmount.scheduling.specs import JobSpec, TaskId
 
-RUN_MARGIN = 8
-"""By how much an inherited task's run number is raised beyond what is known.
+RUN_NUMBER_MARGIN = 8
+"""How far the run number of an inherited task is raised above the known one.
 
-The previous owner may have started runs that nobody has recorded; a worker
-rejects a run that is not higher than one that ended there.
-"""
+The previous owner may have started runs that were never recorded, and a worker
+rejects a run whose number is not above that of a run that ended there."""
 
 
 def measure_critical_paths(spec: JobSpec) -> tuple[float, ...]:
-    """Returns for each step the seconds of the longest chain it begins."""
-    longest = [step.estimated_seconds for step in spec.steps]
+    """Returns for each step the length in seconds of its critical path.
+
+    That is the longest path of dependent steps that starts with the step.
+    """
+    path_seconds = [step.estimated_seconds for step in spec.steps]
     for number in reversed(range(len(spec.steps))):
         step = spec.steps[number]
-        for before in step.after:
-            least = spec.steps[before].estimated_seconds + longest[number]
-            longest[before] = max(longest[before], least)
-    return tuple(longest)
+        for predecessor in step.after:
+            seconds = (
+                spec.steps[predecessor].estimated_seconds + path_seconds[number]
+            )
+            path_seconds[predecessor] = max(path_seconds[predecessor], seconds)
+    return tuple(path_seconds)
 
 
 class ClusterState:
-    """Jobs, tasks and workers of one service.
+    """State of the jobs, tasks and workers of one service.
 
     Attributes:
-      jobs: All jobs, by id.
-      workers: All workers that run or may run something, by id.
-      ready: Tasks that may be started now.
-      dirty: Jobs whose row must be written.
+      jobs: All jobs by id.
+      workers: All workers that run or may run tasks, by id.
+      ready: Tasks that may be placed now, by id.
+      dirty: Ids of the jobs whose state row must be written; values are unused.
     """
 
     def __init__(self) -> None:
@@ -62,43 +66,45 @@
 
     # Jobs.
 
-    def admit(self, spec: JobSpec, now: float, wall: float) -> Job:
-        """Takes in a job; does nothing for one that is known."""
-        known = self.jobs.get(spec.id)
-        if known is not None:
-            return known
-        # An acceptance stamped by another host's clock may lie ahead of ours.
-        age = min(max(0.0, wall - spec.accepted), 3600.0)
+    def admit(self, spec: JobSpec, now: float, wall_time: float) -> Job:
+        """Adds a job and creates its due tasks, unless it is known already."""
+        existing = self.jobs.get(spec.id)
+        if existing is not None:
+            return existing
+        # Another host's clock that set the acceptance time may be ahead.
+        age = min(max(0.0, wall_time - spec.accepted), 3600.0)
         job = Job(spec, accepted_at=now - age)
         job.critical_paths = measure_critical_paths(spec)
-        chain = max(job.critical_paths, default=0.0)
-        job.objective = spec.queue.stretch * chain + spec.queue.target_seconds
+        critical_path = max(job.critical_paths, default=0.0)
+        job.objective = (
+            spec.queue.stretch * critical_path + spec.queue.target_seconds
+        )
         self.jobs[spec.id] = job
-        self.open_occurrences(job, wall)
+        self.create_due_occurrences(job, wall_time)
         return job
 
-    def create_due_tasks(self, wall: float) -> None:
-        """Creates the tasks of all jobs' occurrences that are due."""
+    def create_due_tasks(self, wall_time: float) -> None:
+        """Creates the tasks of all due occurrences of all jobs."""
         for job in self.jobs.values():
             if job.spec.occurrences > job.occurrences:
-                self.open_occurrences(job, wall)
+                self.create_due_occurrences(job, wall_time)
 
-    def open_occurrences(self, job: Job, wall: float) -> None:
-        """Creates the tasks of the occurrences that are due."""
+    def create_due_occurrences(self, job: Job, wall_time: float) -> None:
+        """Creates the tasks of the due occurrences of a job."""
         spec = job.spec
         total = max(1, spec.occurrences)
         while job.occurrences < total and not job.state.is_final:
-            if spec.occurrences and wall < spec.get_due(job.occurrences):
+            if spec.occurrences and wall_time < spec.get_due(job.occurrences):
                 return
-            self.open_until(job, job.occurrences + 1)
+            self.create_occurrences_until(job, job.occurrences + 1)
 
-    def open_until(self, job: Job, occurrences: int) -> None:
+    def create_occurrences_until(self, job: Job, occurrences: int) -> None:
         """Creates the tasks of the first occurrences, whether due or not."""
         while job.occurrences < occurrences:
-            self._open(job, job.occurrences)
+            self._create_occurrence(job, job.occurrences)
             job.occurrences += 1
 
-    def _open(self, job: Job, occurrence: int) -> None:
+    def _create_occurrence(self, job: Job, occurrence: int) -> None:
         for number, step in enumerate(job.spec.steps):
             job.remaining[occurrence, number] = step.count
             for index in range(step.count):
@@ -106,75 +112,78 @@
                 job.tasks[task_id] = Task(task_id, step, job)
         for number, step in enumerate(job.spec.steps):
             if not step.after:
-                self._release(job, occurrence, number)
+                self._mark_step_ready(job, occurrence, number)
 
-    def _release(self, job: Job, occurrence: int, number: int) -> None:
-        """Makes the waiting tasks of a step ready."""
+    def _mark_step_ready(self, job: Job, occurrence: int, number: int) -> None:
+        """Adds the waiting tasks of a step to the ready tasks."""
         for index in range(job.spec.steps[number].count):
             task = job.tasks[TaskId(job.spec.id, occurrence, number, index)]
             if task.phase is TaskPhase.WAITING:
                 self.ready[task.id] = task
 
-    def is_released(self, task: Task) -> bool:
-        """Tells whether all earlier steps of a task are done."""
+    def are_predecessors_done(self, task: Task) -> bool:
+        """Returns whether all steps that a task depends on are done."""
         return all(
-            task.job.remaining[task.id.occurrence, before] == 0
-            for before in task.spec.after
+            task.job.remaining[task.id.occurrence, predecessor] == 0
+            for predecessor in task.spec.after
         )
 
     def cancel(self, job_id: str, now: float) -> list[Task]:
-        """Cancels a job; returns its tasks that must be stopped."""
+        """Cancels a job and returns its tasks that must be stopped."""
         job = self.jobs.get(job_id)
         if job is None or job.state.is_final:
             return []
         return self.finish_job(job, JobState.CANCELLED, now)
 
     def finish_job(self, job: Job, state: JobState, now: float) -> list[Task]:
-        """Ends a job; returns its tasks that must be stopped."""
+        """Sets a job's final state and returns the tasks to be stopped."""
         job.state = state
         job.ended_at = now
         self.dirty[job.spec.id] = None
-        stopped = []
+        stopping = []
         for task in job.tasks.values():
             if task.phase is TaskPhase.WAITING:
                 task.phase = TaskPhase.GIVEN_UP
                 self.ready.pop(task.id, None)
             elif task.phase in (TaskPhase.STARTING, TaskPhase.RUNNING):
                 self.begin_stop(task)
-                stopped.append(task)
-        return stopped
+                stopping.append(task)
+        return stopping
 
     def count_pending(self) -> dict[str, int]:
-        """Counts the jobs of each queue of which nothing has begun.
+        """Returns the number of jobs by queue of which no task has started.
 
-        A start that was sent may never arrive, as in a zone cut; counted as
-        begun, its job would neither wait nor run for as long as leases last.
+        Placed tasks do not count as started: a start command may never arrive,
+        for example during a network partition between zones. The job would then
+        be shown as neither pending nor running until the leases expire.
         """
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             name = job.spec.queue.name
-            waits = not job.has_started and not job.state.is_final
-            counts[name] = counts.get(name, 0) + waits
+            is_pending = not job.has_started and not job.state.is_final
+            counts[name] = counts.get(name, 0) + is_pending
         return counts
 
     # Tasks.
 
     def place(self, tasks: Iterable[Task], worker: Worker, now: float) -> None:
-        """Puts tasks on a worker, all with the same run number."""
+        """Places tasks on a worker, all with the same run number."""
         members = list(tasks)
-        self.number(members)
+        self.assign_run_number(members)
         for task in members:
-            self.place_numbered(task, worker, now)
+            self.place_with_run_number(task, worker, now)
 
-    def number(self, members: list[Task]) -> None:
-        """Gives tasks that start together their next run number."""
+    def assign_run_number(self, members: list[Task]) -> None:
+        """Assigns the next run number to tasks that start together."""
         run = max(task.run + task.skipped for task in members) + 1
         for task in members:
             task.run = run
             task.skipped = 0
 
-    def place_numbered(self, task: Task, worker: Worker, now: float) -> None:
-        """Puts a task on a worker with the run number that it has."""
+    def place_with_run_number(
+        self, task: Task, worker: Worker, now: float
+    ) -> None:
+        """Places a task on a worker, keeping its assigned run number."""
         task.phase = TaskPhase.STARTING
         task.worker = worker.id
         task.placed_at = now
@@ -192,15 +201,15 @@
         self.mark_placed(task.job)
 
     def mark_placed(self, job: Job) -> None:
-        """Notes that a task of a job was placed."""
+        """Records that a task of a job was placed."""
         job.was_placed = True
         self.dirty[job.spec.id] = None
 
     def mark_started(self, job: Job) -> None:
-        """Notes that a worker has begun a task of a job.
+        """Records that a worker has started a task of a job.
 
-        Only then is the job shown as running: a start that was sent may never
-        be carried out.
+        The job is shown as running only from then on, because a start command
+        may never be carried out.
         """
         job.has_started = True
         if job.state is JobState.QUEUED:
@@ -208,14 +217,14 @@
             self.dirty[job.spec.id] = None
 
     def confirm_start(self, task: Task, run: int, now: float) -> None:
-        """Takes in that a worker has started a run."""
+        """Records that a worker has started a run."""
         if task.run == run and task.phase is TaskPhase.STARTING:
             task.phase = TaskPhase.RUNNING
             task.confirmed_at = now
             self.mark_started(task.job)
 
     def reject_start(self, task: Task, run: int) -> None:
-        """Takes in that a worker surely has not started a run."""
+        """Records that a worker has certainly not started a run."""
         if task.run == run and task.phase in (
             TaskPhase.STARTING,
             TaskPhase.STOPPING,
@@ -228,7 +237,7 @@
             task.phase = TaskPhase.STOPPING
 
     def requeue(self, task: Task) -> None:
-        """Frees what a task took; it waits again if its job goes on."""
+        """Releases a task's resources; requeues it unless its job is over."""
         worker = self.workers.get(task.worker)
         if worker is not None:
             worker.remove(task)
@@ -238,11 +247,11 @@
             task.phase = TaskPhase.GIVEN_UP
             return
         task.phase = TaskPhase.WAITING
-        if self.is_released(task):
+        if self.are_predecessors_done(task):
             self.ready[task.id] = task
 
     def end_run(self, task: Task, kind: EndKind, now: float) -> list[Task]:
-        """Takes in how a placed task's run ended.
+        """Records how the run of a placed task ended.
 
         Returns:
           Tasks that must be stopped because of it.
@@ -251,24 +260,24 @@
         task.last_ended_at = now
         if task.spec.fills and worker in self.workers:
             share = measure_intensity(task) * task.cpu_percent / 100
-            left = EndedTask(task.spec.image, share, now)
-            self.workers[worker].record_ended_task(left)
+            ended = EndedTask(task.spec.image, share, now)
+            self.workers[worker].record_ended_task(ended)
         self.requeue(task)
         if task.job.state.is_final:
             return []
         if kind is EndKind.DONE and not task.spec.lasting:
-            return self.complete(task, now)
+            return self.complete_task(task, now)
         if kind is EndKind.FAILED:
             task.failed_on.add(worker)
             return self.record_failure(task, task.run, now)
         return []
 
     def record_failure(self, task: Task, run: int, now: float) -> list[Task]:
-        """Counts a run that failed, once, however often it is listed.
+        """Counts a failed run once, however often it is reported.
 
-        Runs are told apart by their numbers: workers list an end until it is
-        acknowledged, and a new owner may hear of them in any order. Lasting
-        tasks may fail for ever.
+        Runs are identified by their numbers, because workers report an end
+        until it is acknowledged and a new owner may receive the reports in any
+        order. Long-running tasks may fail any number of times.
 
         Returns:
           Tasks that must be stopped because the job has failed.
@@ -277,71 +286,74 @@
             return []
         task.failed_runs.add(run)
         self.dirty[task.job.spec.id] = None
-        if not self.is_given_up(task):
+        if not self.has_exhausted_attempts(task):
             return []
         return self.finish_job(task.job, JobState.FAILED, now)
 
-    def is_given_up(self, task: Task) -> bool:
-        """Tells whether a task has failed as often as it may."""
+    def has_exhausted_attempts(self, task: Task) -> bool:
+        """Returns whether a task, or its gang, has used up its attempts."""
         failures = task.failures
         if task.spec.gang:
-            failures = sum(t.failures for t in self.list_step(task))
+            failures = sum(t.failures for t in self.list_step_tasks(task))
         return failures >= task.job.spec.queue.max_attempts
 
-    def list_step(self, task: Task) -> list[Task]:
-        """Lists the tasks of a task's step and occurrence."""
+    def list_step_tasks(self, task: Task) -> list[Task]:
+        """Lists all tasks in the same step and occurrence as a task."""
         job, occurrence, step = task.id.job, task.id.occurrence, task.id.step
         return [
             task.job.tasks[TaskId(job, occurrence, step, index)]
             for index in range(task.spec.count)
         ]
 
-    def complete(self, task: Task, now: float) -> list[Task]:
-        """Marks a task as done; returns tasks that must be stopped."""
+    def complete_task(self, task: Task, now: float) -> list[Task]:
+        """Marks a task as done and returns tasks that must be stopped."""
         done = [task]
         if task.spec.gang:
-            # The members end together, and one end stands for all of them.
-            done = self.list_step(task)
-        stopped = []
+            # The members end together, so one end completes all of them.
+            done = self.list_step_tasks(task)
+        stopping = []
         for member in done:
             if member.phase in (TaskPhase.STARTING, TaskPhase.RUNNING):
                 self.begin_stop(member)
-                stopped.append(member)
+                stopping.append(member)
             if member.phase is TaskPhase.WAITING:
                 self._mark_done(member, now)
-        return stopped
+        return stopping
 
     def _mark_done(self, task: Task, now: float) -> None:
         job = task.job
         task.phase = TaskPhase.DONE
         task.checkpoint = ''
         self.ready.pop(task.id, None)
-        place = (task.id.occurrence, task.id.step)
-        job.remaining[place] -= 1
+        step_key = (task.id.occurrence, task.id.step)
+        job.remaining[step_key] -= 1
         self.dirty[job.spec.id] = None
-        if job.remaining[place]:
+        if job.remaining[step_key]:
             return
-        self._release_after(job, *place)
+        self._mark_successors_ready(job, *step_key)
         if job.occurrences >= max(1, job.spec.occurrences) and not any(
             job.remaining.values()
         ):
             job.state = JobState.COMPLETED
             job.ended_at = now
 
-    def _release_after(self, job: Job, occurrence: int, done: int) -> None:
+    def _mark_successors_ready(
+        self, job: Job, occurrence: int, done_step: int
+    ) -> None:
         for number, step in enumerate(job.spec.steps):
-            if done in step.after and all(
-                job.remaining[occurrence, before] == 0 for before in step.after
+            if done_step in step.after and all(
+                job.remaining[occurrence, predecessor] == 0
+                for predecessor in step.after
             ):
-                self._release(job, occurrence, number)
+                self._mark_step_ready(job, occurrence, number)
 
     def restore_done(self, task: Task, now: float) -> None:
-        """Takes over from a row that a task is done."""
+        """Restores from a state row that a task is done."""
         task.job.has_started = True
         self._mark_done(task, now)
 
     def restore_placed(self, task: Task, worker: Worker) -> None:
-        """Takes over from a row that a task may run on a worker."""
+        """Restores from a state row that a task may run on a worker."""
         task.phase = TaskPhase.RUNNING
         task.worker = worker.id
         worker.add(task)
@@ -351,9 +363,10 @@
     # Workers.
 
     def register_worker(self, entry: WorkerEntry) -> Worker:
-        """Records a registration.
+        """Adds a worker or updates its registration.
 
-        See `end_worker_tasks` for a new incarnation.
+        The caller ends the tasks of a previous incarnation with
+        `end_worker_tasks`.
         """
         worker = self.workers.get(entry.id)
         if worker is None:
@@ -364,10 +377,10 @@
         return worker
 
     def end_worker_tasks(self, worker: Worker, now: float) -> list[Task]:
-        """Ends everything on a worker: its leases ran out or it restarted.
+        """Ends all runs on a worker whose leases expired or that restarted.
 
         Returns:
-          The tasks that were there.
+          The tasks that were placed there.
         """
         tasks = list(worker.tasks.values())
         for task in tasks:
--- a/lentilmount/scheduling/consolidation.py
+++ b/lentilmount/scheduling/consolidation.py
@@ -1,10 +1,11 @@
-"""Bringing serving tasks of one image together while the service runs.
-
-Load pattern: what bears one filling image may not bear the next, so a worker
-that serves several images takes only the filling work that all of them bear,
-often none. Tasks that are spread one a worker, and tasks that come when every
-worker is nearly full, mix the images more and more. A single small task then
-keeps the whole rest of a worker from what waits.
+"""Consolidation of serving tasks by image while the service runs.
+
+Load pattern: an image that tolerates one best-effort image may not tolerate the
+next, so a worker that serves several images accepts only best-effort tasks that
+all of them tolerate, often none. Images mix more and more through tasks that
+are spread over workers and tasks that arrive when every worker is nearly full.
+A single small task then keeps the rest of a worker from waiting best-effort
+tasks.
 """
 
 from __future__ import annotations
@@ -24,100 +25,107 @@
 )
 
 MOVE_INTERVAL_SECONDS = 0.5
-"""Between two searches for a move."""
+"""Minimum time between two searches for a move, in seconds."""
 
 MAX_TASKS_PER_MOVE = 3
-"""Most tasks of an image that leave a worker at once."""
+"""Maximum number of tasks of an image that leave a worker at once."""
 
-LEAST_GAIN_CORES = 2.0
-"""Cores that filling work must gain for each task that moves. A move costs a
-serving task about two seconds of its service."""
+MIN_GAIN_CORES = 2.0
+"""Cores that best-effort tasks must gain for each moved task. A move interrupts
+a serving task for about two seconds."""
 
 MIN_SERVED_SECONDS = 4.0
-"""How long a task has served before it moves: twice as long as a move takes
-from it."""
+"""Time in seconds that a task must have served before it moves: twice the
+interruption by a move."""
 
-MOST_AWAY = 0.04
-"""Share of the lasting cores that may be away for moves to go on. More are
-away after a worker is lost; its tasks need what room there is."""
+MAX_INTERRUPTED_SHARE = 0.04
+"""Share of the long-running tasks' cores that may be interrupted for moves to
+continue. More are interrupted after the loss of a worker, and its tasks need
+the free resources."""
 
-MOST_SEARCHED = 8
-"""Moves of largest promise for which room is looked for."""
+MAX_MOVES_EVALUATED = 8
+"""Number of moves for which a target is searched, those of largest potential
+gain."""
 
 
 @attrs.frozen
 class _Move:
-    """Serving tasks of an image that may leave a worker.
+    """Serving tasks of one image that may leave a worker.
 
     Attributes:
-      source: The worker.
-      image: The image.
+      source: Current worker.
+      image: Image of the tasks.
       tasks: The tasks.
-      promise: Cores that filling work gains on that worker.
+      potential_gain: Cores that best-effort tasks gain on that worker.
     """
 
     source: WorkerView
     image: str
     tasks: tuple[Task, ...]
-    promise: float
+    potential_gain: float
 
 
 @attrs.define
-class Consolidation:
-    """Chooses serving tasks that would serve better elsewhere.
+class Consolidator:
+    """Chooses serving tasks to move to workers that serve their image.
 
     Attributes:
-      cluster: Where the tasks are.
-      demand: Which images the filling work is of.
+      cluster: Cluster state that contains the tasks.
+      demand: Demand of best-effort tasks by image.
     """
 
     cluster: ClusterState
     demand: BestEffortDemand
-    _looked_at: float = 0.0
+    _searched_at: float = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Whether a move may be looked for again."""
-        return now - self._looked_at >= MOVE_INTERVAL_SECONDS
+        """Returns whether the next search for a move is due."""
+        return now - self._searched_at >= MOVE_INTERVAL_SECONDS
 
     def choose(self, views: list[WorkerView], now: float) -> list[Task]:
-        """Returns the tasks of the best move, if any is worth it.
+        """Returns the tasks of the best move, or none if no move is worth it.
 
         Args:
-          views: The workers that take new work.
+          views: Workers that accept new tasks.
           now: Monotonic time.
         """
-        self._looked_at = now
+        self._searched_at = now
         self.demand.update(now)
-        waits = any(task.spec.fills for task in self.cluster.ready.values())
-        if not waits or self._measure_away() > MOST_AWAY:
+        has_waiting_tasks = any(
+            task.spec.fills for task in self.cluster.ready.values()
+        )
+        if (
+            not has_waiting_tasks
+            or self._measure_interrupted_share() > MAX_INTERRUPTED_SHARE
+        ):
             return []
         moves = [move for view in views for move in self._list_moves(view, now)]
-        moves.sort(key=lambda move: -move.promise)
+        moves.sort(key=lambda move: -move.potential_gain)
         best: list[Task] = []
-        most = 0.0
-        for move in moves[:MOST_SEARCHED]:
-            gain = move.promise - self._measure_loss(move, views)
-            if gain >= LEAST_GAIN_CORES * len(move.tasks) and gain > most:
-                best, most = list(move.tasks), gain
+        best_gain = 0.0
+        for move in moves[:MAX_MOVES_EVALUATED]:
+            gain = move.potential_gain - self._measure_loss(move, views)
+            if gain >= MIN_GAIN_CORES * len(move.tasks) and gain > best_gain:
+                best, best_gain = list(move.tasks), gain
         return best
 
-    def _measure_away(self) -> float:
-        """Returns the share of the lasting cores that serve nobody now."""
-        total = away = 0.0
+    def _measure_interrupted_share(self) -> float:
+        """Returns the share of cores of long-running tasks that are down."""
+        total = interrupted = 0.0
         for job in self.cluster.jobs.values():
             if job.state.is_final or not job.spec.steps[0].lasting:
                 continue
             for task in job.tasks.values():
                 total += task.spec.demand.cores
                 if task.phase is not TaskPhase.RUNNING:
-                    away += task.spec.demand.cores
-        return away / total if total else 0.0
+                    interrupted += task.spec.demand.cores
+        return interrupted / total if total else 0.0
 
     def _list_moves(self, view: WorkerView, now: float) -> list[_Move]:
-        """Lists what may leave a worker, if room for it is found."""
+        """Lists moves off a worker, without checking for a target."""
         moves = []
-        borne = self.demand.measure_borne(view.utilisation)
-        before = borne * max(0.0, view.spare_cores)
+        tolerated = self.demand.measure_tolerated_share(view.utilisation)
+        before = tolerated * max(0.0, view.spare_cores)
         for image in view.utilisation:
             tasks = tuple(
                 task
@@ -128,72 +136,74 @@
                 continue
             if not all(_may_move(task, tasks, now) for task in tasks):
                 continue
-            left = view.utilisation.keys() - {image}
+            remaining_images = view.utilisation.keys() - {image}
             freed = SERVING_CPU_SHARE * sum(t.spec.demand.cores for t in tasks)
-            after = self.demand.measure_borne(left)
+            after = self.demand.measure_tolerated_share(remaining_images)
             after *= max(0.0, view.spare_cores + freed)
-            if after - before >= LEAST_GAIN_CORES * len(tasks):
+            if after - before >= MIN_GAIN_CORES * len(tasks):
                 moves.append(_Move(view, image, tasks, after - before))
         return moves
 
     def _measure_loss(self, move: _Move, views: list[WorkerView]) -> float:
-        """Returns the cores that filling work loses where the tasks go.
+        """Returns the cores that best-effort tasks lose on the target workers.
 
-        More than any gain where there is no room for all of them beside
-        their own image.
+        If the other workers of the image do not have room for all tasks, the
+        result is the potential gain, so that the move is not worth it.
         """
         targets = [
             view
             for view in views
             if view is not move.source and move.image in view.utilisation
         ]
-        rooms = {view.worker.id: view.free for view in targets}
+        free_by_worker = {view.worker.id: view.free for view in targets}
         loss = 0.0
         for task in move.tasks:
-            target = _find_room(task, targets, rooms)
+            target = _find_target(task, targets, free_by_worker)
             if target is None:
-                return move.promise
-            free = rooms[target.worker.id]
-            rooms[target.worker.id] = free.subtract(task.spec.reserved)
-            borne = self.demand.measure_borne(target.utilisation)
-            loss += borne * SERVING_CPU_SHARE * task.spec.demand.cores
+                return move.potential_gain
+            free = free_by_worker[target.worker.id]
+            free_by_worker[target.worker.id] = free.subtract(task.spec.reserved)
+            tolerated = self.demand.measure_tolerated_share(target.utilisation)
+            loss += tolerated * SERVING_CPU_SHARE * task.spec.demand.cores
         return loss
 
 
-def _find_room(
-    task: Task, targets: list[WorkerView], rooms: dict[str, Room]
+def _find_target(
+    task: Task, targets: list[WorkerView], free_by_worker: dict[str, Room]
 ) -> WorkerView | None:
     for view in targets:
-        has_room = task.spec.reserved.fits(rooms[view.worker.id])
-        if has_room and view.can_start(task):
+        has_capacity = task.spec.reserved.fits(free_by_worker[view.worker.id])
+        if has_capacity and view.can_start(task):
             return view
     return None
 
 
-def _may_move(task: Task, together: Iterable[Task], now: float) -> bool:
-    """Tells whether a serving task's step can do without it for a while.
+def _may_move(task: Task, moving_tasks: Iterable[Task], now: float) -> bool:
+    """Returns whether a task's step can do without it for a while.
 
     Args:
-      task: The task.
-      together: All tasks that would move, itself included.
+      task: A serving task.
+      moving_tasks: All tasks that would move, including this one.
       now: Monotonic time.
     """
-    if not task.spec.lasting or not _is_settled(task, now):
+    if not task.spec.lasting or not _has_served_long_enough(task, now):
         return False
     allowed = task.spec.may_miss
     if allowed is None:
         return True
     moving = sum(
-        get_step_key(other) == get_step_key(task) for other in together
+        get_step_key(other) == get_step_key(task) for other in moving_tasks
     )
-    away = sum(
-        not _is_settled(other, now)
+    interrupted = sum(
+        not _has_served_long_enough(other, now)
         for other in task.job.tasks.values()
         if get_step_key(other) == get_step_key(task)
     )
-    return away + moving <= allowed
+    return interrupted + moving <= allowed
 
 
-def _is_settled(task: Task, now: float) -> bool:
-    is_there = task.phase is TaskPhase.RUNNING and task.cpu_percent == 100
-    return is_there and now - task.confirmed_at >= MIN_SERVED_SECONDS
+def _has_served_long_enough(task: Task, now: float) -> bool:
+    is_serving_fully = (
+        task.phase is TaskPhase.RUNNING and task.cpu_percent == 100
+    )
+    return is_serving_fully and now - task.confirmed_at >= MIN_SERVED_SECONDS
--- a/lentilmount/scheduling/demand.py
+++ b/lentilmount/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""Which images the filling work is of."""
+"""Demand of best-effort tasks by image."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.interference import InterferenceModel
 
-AVERAGE_SECONDS = 5.0
-"""Time over which demand is averaged: about as long as a job of it lasts."""
+AVERAGING_SECONDS = 5.0
+"""Time constant in seconds of the average demand: about the duration of a
+best-effort job."""
 
 
 @attrs.define
 class BestEffortDemand:
-    """Shares of the filling work that waits and runs, by image.
+    """Share of each image in the waiting and running best-effort tasks.
 
     Attributes:
-      cluster: Where the work is.
-      interference_model: Which images bear which.
+      cluster: Cluster state that contains the tasks.
+      interference_model: Learned interference between images.
     """
 
     cluster: ClusterState
     interference_model: InterferenceModel
     _cores: dict[str, float] = attrs.Factory(dict)
     _shares: dict[str, float] = attrs.Factory(dict)
-    _noted_at: float = -math.inf
+    _updated_at: float = -math.inf
 
     def update(self, now: float) -> None:
-        """Takes in what waits and runs now."""
+        """Updates the average with the tasks that wait and run now."""
         found = self._count_cores()
-        weight = 1 - math.exp(-(now - self._noted_at) / AVERAGE_SECONDS)
-        self._noted_at = now
+        weight = 1 - math.exp(-(now - self._updated_at) / AVERAGING_SECONDS)
+        self._updated_at = now
         for image in {*found, *self._cores}:
-            known = self._cores.get(image, 0.0)
-            self._cores[image] = known + weight * (found[image] - known)
+            average = self._cores.get(image, 0.0)
+            self._cores[image] = average + weight * (found[image] - average)
         total = sum(self._cores.values())
         if total > 0:
             self._shares = {i: c / total for i, c in self._cores.items()}
@@ -53,13 +54,16 @@
                 found[task.spec.image] += task.spec.demand.cores
         return found
 
-    def measure_borne(self, serving: Iterable[str]) -> float:
-        """Returns the share of the filling work that images bear, 0 to 1.
+    def measure_tolerated_share(self, serving_images: Iterable[str]) -> float:
+        """Returns the share of the best-effort demand that images tolerate.
 
         Args:
-          serving: The images that serve on a worker.
+          serving_images: Serving images on a worker.
+
+        Returns:
+          The share, from 0 to 1.
         """
-        images = list(serving)
+        images = list(serving_images)
         return sum(
             share * self.interference_model.measure_tolerance(images, image)
             for image, share in self._shares.items()
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -1,9 +1,10 @@
-"""Room that lasting tasks leave to short urgent work for a while.
+"""Headroom that long-running tasks leave to urgent tasks for a limited time.
 
-Load pattern: lasting tasks ask for more than there is and stay for a minute;
-urgent jobs of a second or two come several times a second and may be late by
-less than one. Placed at once, the lasting tasks that wait take every core that
-is freed, and urgent work waits until one of them ends, ten seconds and more.
+Load pattern: long-running tasks request more than the capacity and run for a
+minute. Urgent jobs of a second or two arrive several times per second and may
+be late by less than a second. If waiting long-running tasks were placed at
+once, they would take every core that becomes free, and urgent tasks would wait
+10 s or more until one of them ends.
 """
 
 from __future__ import annotations
@@ -16,29 +17,30 @@
 from lentilmount.scheduling.model import Task
 from lentilmount.scheduling.ranking import (
     RESTART_OVERDUE_SECONDS,
-    Outlook,
-    find_outlook,
+    Timeliness,
     is_urgent,
+    predict_timeliness,
 )
 from lentilmount.scheduling.views import WorkerView
 
 MAX_HEADROOM_WAIT_SECONDS = RESTART_OVERDUE_SECONDS
-"""How long a lasting task leaves room to urgent work that is expected: as long
-as urgent work goes before it."""
+"""How long a long-running task leaves free cores to expected urgent tasks: as
+long as urgent tasks go before it."""
 
-AVERAGE_SECONDS = 4.0
-"""Time over which the demand of urgent work is averaged."""
+AVERAGING_SECONDS = 4.0
+"""Time constant in seconds of the average demand of urgent tasks."""
 
-NOTE_SECONDS = 0.1
-"""Between two sums over all tasks."""
+UPDATE_INTERVAL_SECONDS = 0.1
+"""Minimum time between two sums over all tasks, in seconds."""
 
 BURST_FACTOR = 1.3
-"""Room kept for urgent work, over its mean demand: it comes in bursts."""
+"""Headroom for urgent tasks relative to their mean demand: they arrive in
+bursts."""
 
 
 @attrs.define
 class Headroom:
-    """Knows how much room urgent work is likely to need.
+    """Estimate of the cores that urgent tasks are about to need.
 
     Attributes:
       cluster: Jobs, tasks and workers.
@@ -47,39 +49,40 @@
     cluster: ClusterState
     _demand: float = 0.0
     _running: float = 0.0
-    _noted_at: float = -math.inf
+    _updated_at: float = -math.inf
 
     def update(self, now: float) -> None:
-        """Takes in how many cores urgent work runs on or waits for."""
-        passed = now - self._noted_at
-        if passed < NOTE_SECONDS:
+        """Updates the average of the cores requested by urgent tasks."""
+        elapsed = now - self._updated_at
+        if elapsed < UPDATE_INTERVAL_SECONDS:
             return
-        self._noted_at = now
+        self._updated_at = now
         self._running = sum(
             task.spec.demand.cores
             for worker in self.cluster.workers.values()
             for task in worker.tasks.values()
             if is_urgent(task)
         )
-        # What cannot be in time any more has no claim on room.
+        # Tasks that cannot be in time any more get no headroom.
         waiting = sum(
             task.spec.demand.cores
             for task in self.cluster.ready.values()
-            if is_urgent(task) and find_outlook(task, now) is Outlook.IN_TIME
+            if is_urgent(task)
+            and predict_timeliness(task, now) is Timeliness.IN_TIME
         )
-        if math.isinf(passed):
+        if math.isinf(elapsed):
             return
-        weight = 1 - math.exp(-passed / AVERAGE_SECONDS)
+        weight = 1 - math.exp(-elapsed / AVERAGING_SECONDS)
         self._demand += weight * (self._running + waiting - self._demand)
 
-    def keeps_room(
+    def should_keep_free(
         self, step: list[Task], views: list[WorkerView], now: float
     ) -> bool:
-        """Tells whether a lasting step leaves what is free to urgent work.
+        """Returns whether a long-running step must leave free cores unused.
 
         Args:
-          step: Its tasks that are ready.
-          views: The workers that take new work.
+          step: Ready tasks of the step.
+          views: Workers that accept new tasks.
           now: Monotonic time.
         """
         since = min(max(t.last_ended_at, t.job.accepted_at) for t in step)
--- a/lentilmount/scheduling/health.py
+++ b/lentilmount/scheduling/health.py
@@ -1,8 +1,8 @@
-"""Workers that fail, hang or are slow, told by what their tasks do.
+"""Detection of workers that fail, hang or are slow, from their tasks.
 
-A worker that fails everything it is given draws work, because it is always
-free; one that hangs holds its work for ever; one that is slow makes jobs
-late. Each is closed on evidence of its own, and tried again with one task.
+A worker that fails every task attracts more tasks, because it is always free.
+One that hangs holds its tasks forever, and a slow one makes jobs late. Each is
+quarantined on its own evidence and then tested with one task.
 """
 
 from __future__ import annotations
@@ -15,58 +15,60 @@
 from lentilmount.scheduling.reports import EndKind
 
 MAX_FAILED_JOBS = 3
-"""Different jobs that fail on a worker with no success between them. Jobs
-that can never be done fail everywhere, and rarely meet three at a time."""
+"""Number of different jobs that fail on a worker, without a success in between,
+after which it is quarantined. Jobs that fail everywhere rarely meet three at a
+time on one worker."""
 
 QUARANTINE_SECONDS = 4.0
-"""How long a worker stays closed before it is tried again: as long as the
-shortest of such spells lasts."""
+"""Duration of a quarantine in seconds: as long as the shortest such faults
+last."""
 
 PROBATION_SECONDS = 2.0
-"""After which a task that is still at work speaks for its worker: longer than
-a worker that fails everything takes to fail, and than one that hangs takes to
-show it."""
+"""Run time in seconds after which a test task clears its worker. It is longer
+than a broken worker takes to fail a task and a hanging one to be detected."""
 
 HANG_SECONDS = 1.5
-"""Time without any use of the processor after which a task hangs: three
-figures of half a second."""
+"""Time without CPU usage after which a task hangs, in seconds: three
+measurements of half a second."""
 
 OVERDUE_FACTOR = 4.0
 OVERDUE_SECONDS = 3.0
-"""A run is overdue after so many times its estimate and so much more.
-Estimates are off by a fifth as a rule, distance from the data costs three."""
+"""A run is overdue after this multiple of its estimate plus these seconds.
+Estimates are usually off by a fifth; remote data makes a task three times as
+long."""
 
 STOP_TIMEOUT_SECONDS = 3.0
-"""How long a worker may leave stops unanswered before its leases are left to
-run out. Nothing else ends there what a caller has cancelled; all that it runs
-ends with it, and is started elsewhere."""
+"""Time in seconds without an answer to stops after which the leases of a worker
+are no longer renewed. Otherwise the tasks of cancelled jobs would never end
+there. All other tasks there end as well and are started elsewhere."""
 
 MAX_QUARANTINED_SHARE = 0.3
-"""Share of the workers that may be closed at once; beyond it something else
-must be at fault."""
+"""Maximum share of workers that are quarantined at once. Beyond it, the cause
+is probably not the workers."""
 
-PACE_GAIN = 0.25
-"""Weight of one run in a worker's pace: four runs tell."""
+SLOWDOWN_WEIGHT = 0.25
+"""Weight of one run in the moving average of a worker's slowdown, which follows
+within about four runs."""
 
-LONGEST_PACE = 10.0
+MAX_SLOWDOWN = 10.0
 
 
 @attrs.define
 class WorkerHealth:
-    """Evidence against workers."""
+    """Evidence of faults of workers."""
 
     _failures: dict[str, set[str]] = attrs.Factory(dict)
 
     def record_end(
         self, worker: Worker, task: Task, kind: EndKind, now: float
     ) -> bool:
-        """Takes in an end; returns whether the worker was closed for it."""
+        """Records a run end; returns whether it quarantined the worker."""
         if kind is EndKind.DONE:
             self._failures.pop(worker.id, None)
             worker.on_probation = False
-            self._measure_pace(worker, task, now)
-        # An end of the previous owner's time says nothing of the worker now,
-        # and all of them come at once.
+            self._update_slowdown(worker, task, now)
+        # Ends from the time of the previous owner are all reported at once
+        # and are no evidence about the current state of the worker.
         if kind is not EndKind.FAILED or not task.placed_at:
             return False
         jobs = self._failures.setdefault(worker.id, set())
@@ -78,58 +80,59 @@
         return True
 
     def quarantine(self, worker: Worker, now: float) -> None:
-        """Closes a worker for a while; one task will try it afterwards."""
+        """Stops placing tasks on a worker until it is tested with one."""
         worker.quarantined_until = now + QUARANTINE_SECONDS
         worker.on_probation = True
 
     def end_probations(self, workers: list[Worker], now: float) -> None:
-        """Trusts the workers on which a task has run well for a while."""
+        """Clears the workers on which a test task has run well for a while."""
         for worker in workers:
-            if worker.on_probation and _has_proved(worker, now):
+            if worker.on_probation and _has_passed_probation(worker, now):
                 worker.on_probation = False
 
     def may_quarantine(self, workers: list[Worker], now: float) -> bool:
-        """Tells whether one more worker may be closed."""
-        closed = sum(w.quarantined_until > now for w in workers)
-        return closed < MAX_QUARANTINED_SHARE * len(workers)
+        """Returns whether one more worker may be quarantined."""
+        quarantined = sum(w.quarantined_until > now for w in workers)
+        return quarantined < MAX_QUARANTINED_SHARE * len(workers)
 
     def review_leases(
         self, workers: list[Worker], now: float
     ) -> tuple[list[Worker], list[Worker]]:
-        """Leaves leases to run out where nothing can be stopped any more.
+        """Decides on which workers leases are no longer renewed.
 
-        Where that is so of too many workers, something else is at fault, and
-        their leases are renewed.
+        Leases expire where tasks cannot be stopped otherwise. If that applies
+        to too many workers, the cause is probably elsewhere, and their leases
+        are renewed.
 
         Returns:
-          The workers whose leases are left to run out from now on, and those
+          The workers whose leases are no longer renewed from now on, and those
           whose leases are renewed again.
         """
-        left: list[Worker] = []
-        kept: list[Worker] = []
-        most = MAX_QUARANTINED_SHARE * len(workers)
+        stopped_renewals: list[Worker] = []
+        resumed_renewals: list[Worker] = []
+        max_stopped = MAX_QUARANTINED_SHARE * len(workers)
         count = sum(not worker.renews_leases for worker in workers)
         for worker in workers:
             is_overdue = _is_stop_overdue(worker, now)
-            if worker.renews_leases and is_overdue and count < most:
+            if worker.renews_leases and is_overdue and count < max_stopped:
                 worker.renews_leases = False
                 count += 1
-                left.append(worker)
+                stopped_renewals.append(worker)
             elif not worker.renews_leases and not is_overdue:
                 worker.renews_leases = True
-                kept.append(worker)
-        return left, kept
+                resumed_renewals.append(worker)
+        return stopped_renewals, resumed_renewals
 
-    def _measure_pace(self, worker: Worker, task: Task, now: float) -> None:
+    def _update_slowdown(self, worker: Worker, task: Task, now: float) -> None:
         estimate = task.spec.estimated_seconds
         if task.spec.fills or not estimate or not task.placed_at:
             return
-        took = (now - task.placed_at) / estimate
-        took = min(LONGEST_PACE, max(1.0, took))
-        worker.slowdown += PACE_GAIN * (took - worker.slowdown)
+        slowdown = (now - task.placed_at) / estimate
+        slowdown = min(MAX_SLOWDOWN, max(1.0, slowdown))
+        worker.slowdown += SLOWDOWN_WEIGHT * (slowdown - worker.slowdown)
 
 
-def _has_proved(worker: Worker, now: float) -> bool:
+def _has_passed_probation(worker: Worker, now: float) -> bool:
     return any(
         task.phase is TaskPhase.RUNNING
         and task.placed_at >= worker.quarantined_until
@@ -149,7 +152,7 @@
 
 
 def list_hanging(worker: Worker, now: float) -> list[Task]:
-    """Lists the tasks of a worker that stand still or are overdue."""
+    """Lists the tasks of a worker that are idle or overdue."""
     return [
         task
         for task in worker.tasks.values()
--- a/lentilmount/scheduling/interference.py
+++ b/lentilmount/scheduling/interference.py
@@ -1,14 +1,14 @@
-"""Tasks that fill beside tasks that serve: who disturbs whom, and how much.
+"""Learned interference of best-effort tasks with serving tasks.
 
-Load pattern: tens of hosts, a few serving tasks on each whose load swings
-within seconds, and several filling tasks beside them, of a handful of images.
-Which image disturbs which differs tenfold and is not declared. Every look at
-every worker is an experiment on the same few pairs, so one model of all hosts
-learns them within seconds.
+Load pattern: tens of hosts, a few serving tasks on each whose load varies
+within seconds, and several best-effort tasks beside them, of a handful of
+images. Interference differs tenfold between pairs of images and is not
+declared. Every poll of every worker measures the same few pairs, so one model
+of all hosts learns them within seconds.
 
-Grounds: a tail grows with utilisation u as 1 / (1 - u), like the waiting time
-of a queue. So 1 - idle / tail is the utilisation, in which the load of the
-serving task and the interference of each filling task simply add up.
+Method: a tail latency grows with utilisation u as 1 / (1 - u), like the waiting
+time in a queue. So 1 - idle / tail is the utilisation, which is the sum of the
+load of the serving task and the interference of each best-effort task.
 """
 
 from __future__ import annotations
@@ -29,315 +29,338 @@
 )
 
 IDLE_TAIL_RATIO = 0.2
-"""Tail of a serving task without any load, over its target."""
+"""Tail latency of a serving task without load, relative to its target."""
 
 TARGET_UTILISATION = 1 - IDLE_TAIL_RATIO
-"""Utilisation at which the tail is at its target."""
+"""Utilisation at which the tail latency equals its target."""
 
 PRIOR_INTERFERENCE = 0.04
 PRIOR_VARIANCE = 0.08**2
-"""Of the interference of an unknown pair in a busy spell: many pairs are
-harmless, and some are not."""
+"""Mean and variance of the interference of an unknown pair in a busy phase:
+many pairs are harmless, and some are not."""
 
 INTERFERENCE_DRIFT = 0.004**2
-"""Growth of a pair's variance a second: after a minute without a look it is
-half as unsure again as when it was last known."""
+"""Growth of a pair's variance per second: after a minute without measurements,
+its standard deviation is about 1.5 times that of a known pair."""
 
 KNOWN_VARIANCE = 0.03**2
-"""Below which a pair is worth telling the next owner, and with which that one
-takes it over."""
+"""Variance below which a pair is exported to the next owner, which also starts
+with this variance."""
 
-START_LOAD = 0.5
-START_LOAD_VARIANCE = 0.2**2
+INITIAL_LOAD = 0.5
+INITIAL_LOAD_VARIANCE = 0.2**2
 LOAD_DRIFT = 0.09**2
-"""Growth of a load's variance a second: loads swing within seconds."""
+"""Growth of a load's variance per second: loads vary within seconds."""
 
-MEASURE_VARIANCE = 0.06**2
-"""Of one figure: rough, rounded, and of the last half second."""
+MEASUREMENT_VARIANCE = 0.06**2
+"""Variance of one measurement, which is noisy, rounded and covers the last half
+second."""
 
 LOAD_PREFIX = 'load:'
-"""Before a job's id in the name of its load."""
+"""Prefix of a job's id in the name of its load term."""
 
 _PRIORS = Priors(
     interference=PRIOR_INTERFERENCE,
     interference_variance=PRIOR_VARIANCE,
     interference_drift=INTERFERENCE_DRIFT,
-    load=START_LOAD,
-    load_variance=START_LOAD_VARIANCE,
+    load=INITIAL_LOAD,
+    load_variance=INITIAL_LOAD_VARIANCE,
     load_drift=LOAD_DRIFT,
-    measure_variance=MEASURE_VARIANCE,
+    measurement_variance=MEASUREMENT_VARIANCE,
     load_prefix=LOAD_PREFIX,
 )
 
-MOST_LOAD = 0.72
-"""What a load may swing to."""
+MAX_LOAD = 0.72
+"""Upper bound of the load of a serving task."""
 
-LEAST_LOAD = 0.15
-"""What a load may swing to."""
+MIN_LOAD = 0.15
+"""Lower bound of the load of a serving task."""
 
 TREND_SECONDS = 1.0
-"""Over which the trend of a load is taken: less tells mostly noise, more lags
-behind a swing."""
+"""Window of the trend of a load in seconds: a shorter one shows mostly noise, a
+longer one lags behind changes of the load."""
 
-MOST_TREND = 0.11
-"""Fastest change of a load a second; see LOAD_DRIFT."""
+MAX_TREND = 0.11
+"""Maximum change of a load per second; see LOAD_DRIFT."""
 
-PLACE_AHEAD_SECONDS = 2.0
-"""How far ahead a filling task's place is judged: about its length."""
+PLACEMENT_HORIZON_SECONDS = 2.0
+"""Prediction horizon for placing a best-effort task in seconds: about its run
+time."""
 
-LOAD_RISE = 0.02
-"""Margin of a place beside the trend."""
+LOAD_MARGIN = 0.02
+"""Safety margin of utilisation for a placement, in addition to the trend."""
 
 SATURATED = 0.92
-"""Utilisation from which a figure tells only that it is at least so high:
-tails no longer follow the formula there."""
+"""Utilisation from which a measurement is only a lower bound: there, tail
+latencies no longer follow the formula."""
 
-FIGURE_SECONDS = 0.5
-"""Time that a figure covers."""
+USAGE_WINDOW_SECONDS = 0.5
+"""Time covered by one measurement in seconds."""
 
-PLACE_BELOW = TARGET_UTILISATION - 0.05
-"""Utilisation up to which filling tasks are added; the rest is half a
+MAX_PLACEMENT_UTILISATION = TARGET_UTILISATION - 0.05
+"""Utilisation up to which best-effort tasks are added. The margin is half a
 standard deviation of the prediction."""
 
-NEW_INTENSITY = 0.85
-"""How much a new filling task is taken to interfere: between its mean and a
-busy spell."""
+NEW_TASK_INTENSITY = 0.85
+"""Assumed intensity of a new best-effort task: between its mean and a busy
+phase."""
 
 HEAVY_INTERFERENCE = 0.1
-"""Interference from which an image has no place beside another: with it a load
-at its mean is near the target."""
+"""Interference from which an image is not tolerated at all: it brings a mean
+load close to the target."""
 
-LEAST_INTERFERENCE = 0.01
-"""Below this a neighbour is not worth slowing down."""
+MIN_INTERFERENCE = 0.01
+"""Interference below which a neighbour is not worth throttling."""
 
 
 @attrs.define
 class _Trend:
-    """The recent estimates of a load, the oldest first."""
+    """Recent estimates of a load, oldest first."""
 
     points: collections.deque[tuple[float, float]] = attrs.Factory(
         collections.deque
     )
 
-    def note(self, now: float, load: float) -> None:
-        """Adds an estimate."""
+    def add(self, now: float, load: float) -> None:
+        """Adds an estimate and drops those outside the window."""
         self.points.append((now, load))
         while now - self.points[0][0] > TREND_SECONDS:
             self.points.popleft()
 
-    def measure(self) -> float:
-        """Returns the change a second."""
+    def get_slope(self) -> float:
+        """Returns the change of the load per second."""
         (first, before), (last, load) = self.points[0], self.points[-1]
         if last - first < TREND_SECONDS / 2:
             return 0.0
         slope = (load - before) / (last - first)
-        return min(MOST_TREND, max(-MOST_TREND, slope))
+        return min(MAX_TREND, max(-MAX_TREND, slope))
 
 
 @attrs.define
-class _Served:
-    """What is known of one serving task.
+class _TailState:
+    """Tail latency state of a serving task.
 
     Attributes:
-      over_since: Monotonic time since which its tail is over the target.
+      over_since: Monotonic time since which it exceeds its target; infinity if
+        it does not.
     """
 
     over_since: float = math.inf
 
 
 def measure_utilisation(ratio: float) -> float:
-    """Returns the utilisation at which a tail is a multiple of its target."""
+    """Returns the utilisation for a ratio of tail latency to target."""
     return 1 - IDLE_TAIL_RATIO / max(IDLE_TAIL_RATIO, ratio)
 
 
 class InterferenceModel:
-    """Learns pairs from looks, and decides who may fill beside whom."""
+    """Learns interference between images and decides which may run together."""
 
     def __init__(self) -> None:
         self._filters: dict[str, KalmanFilter] = {}
-        self._served: dict[Task, _Served] = {}
+        self._tail_states: dict[Task, _TailState] = {}
         self._trends: dict[str, _Trend] = {}
 
-    # Learning.
+    # Learning
 
     def observe(self, worker: Worker, now: float) -> None:
-        """Takes in the newest figures of a worker."""
-        beside = _count_past(worker, now)
+        """Updates the model with the newest measurements of a worker."""
+        neighbours = _count_in_window(worker, now)
         for task in worker.tasks.values():
             if task.is_serving and task.usage is not None:
-                self._learn(task, beside, now)
+                self._update_filter(task, neighbours, now)
 
-    def _learn(self, task: Task, beside: dict[str, float], now: float) -> None:
+    def _update_filter(
+        self, task: Task, neighbours: dict[str, float], now: float
+    ) -> None:
         ratio = (task.usage or 0.0) / task.spec.target_ms
-        served = self._served.setdefault(task, _Served())
+        tail_state = self._tail_states.setdefault(task, _TailState())
         if ratio < 1:
-            served.over_since = math.inf
+            tail_state.over_since = math.inf
         else:
-            served.over_since = min(served.over_since, now)
-        terms = {_name_load(task): 1.0}
-        for image, count in beside.items():
+            tail_state.over_since = min(tail_state.over_since, now)
+        terms = {_get_load_term(task): 1.0}
+        for image, count in neighbours.items():
             terms[image] = count
-        known = self._get_filter(task.spec.image)
-        known.age(now)
+        kalman_filter = self._get_filter(task.spec.image)
+        kalman_filter.advance_time(now)
         measured = measure_utilisation(ratio)
-        if measured >= SATURATED and known.predict(terms) > measured:
+        if measured >= SATURATED and kalman_filter.predict(terms) > measured:
             return
-        known.correct(terms, measured)
+        kalman_filter.update(terms, measured)
         trend = self._trends.setdefault(task.id.job, _Trend())
-        trend.note(now, known.get_mean(_name_load(task)))
-
-    def _get_filter(self, serving: str) -> KalmanFilter:
-        known = self._filters.get(serving)
-        if known is None:
-            known = self._filters[serving] = KalmanFilter(_PRIORS)
-        return known
-
-    def is_over(self, task: Task) -> bool:
-        """Tells whether a serving task's newest tail is over its target."""
-        served = self._served.get(task)
-        return served is not None and served.over_since < math.inf
-
-    def get_seconds_over(self, task: Task, now: float) -> float:
-        """Returns for how long a serving task has been over its target."""
-        served = self._served.get(task)
-        return 0.0 if served is None else max(0.0, now - served.over_since)
+        trend.add(now, kalman_filter.get_mean(_get_load_term(task)))
+
+    def _get_filter(self, serving_image: str) -> KalmanFilter:
+        kalman_filter = self._filters.get(serving_image)
+        if kalman_filter is None:
+            kalman_filter = self._filters[serving_image] = KalmanFilter(_PRIORS)
+        return kalman_filter
+
+    def is_over_target(self, task: Task) -> bool:
+        """Returns whether a serving task's newest tail exceeds its target."""
+        tail_state = self._tail_states.get(task)
+        return tail_state is not None and tail_state.over_since < math.inf
+
+    def get_seconds_over_target(self, task: Task, now: float) -> float:
+        """Returns how many seconds a serving task has been over its target."""
+        tail_state = self._tail_states.get(task)
+        return (
+            0.0 if tail_state is None else max(0.0, now - tail_state.over_since)
+        )
 
     def forget(self, task: Task) -> None:
-        """Drops what is remembered of a task that has ended."""
-        self._served.pop(task, None)
+        """Drops the tail latency state of a task that has ended."""
+        self._tail_states.pop(task, None)
 
-    def forget_job(self, job_id: str, serving: str) -> None:
-        """Drops the load of a job that is over."""
+    def forget_job(self, job_id: str, serving_image: str) -> None:
+        """Drops the load estimates of a job that is over."""
         self._trends.pop(job_id, None)
-        if serving in self._filters:
-            self._filters[serving].remove(LOAD_PREFIX + job_id)
+        if serving_image in self._filters:
+            self._filters[serving_image].remove(LOAD_PREFIX + job_id)
 
     def export(self) -> list[list[Any]]:
-        """Returns what is known of pairs, for the next owner."""
+        """Returns the estimates of well-known pairs, for the next owner."""
         return [
-            [serving, name, round(mean, 4)]
-            for serving, known in self._filters.items()
-            for name, mean, variance in known.list_known()
+            [serving_image, name, round(mean, 4)]
+            for serving_image, kalman_filter in self._filters.items()
+            for name, mean, variance in kalman_filter.list_terms()
             if not name.startswith(LOAD_PREFIX) and variance < KNOWN_VARIANCE
         ]
 
     def restore(self, pairs: list[list[Any]]) -> None:
-        """Takes over what the previous owner knew, with some doubt."""
-        for serving, filling, mean in pairs:
-            known = self._get_filter(serving)
-            known.add(filling, float(mean), KNOWN_VARIANCE)
+        """Restores the previous owner's estimates with reduced certainty."""
+        for serving_image, best_effort_image, mean in pairs:
+            kalman_filter = self._get_filter(serving_image)
+            kalman_filter.add(best_effort_image, float(mean), KNOWN_VARIANCE)
 
-    # Predicting.
+    # Prediction
 
-    def get_interference(self, served: Task, image: str) -> float:
-        """Returns what one filling task adds to a serving one."""
-        return self._get_mean(served.spec.image, image)
+    def get_interference(self, serving_task: Task, image: str) -> float:
+        """Returns the utilisation that one best-effort task adds."""
+        return self._get_mean(serving_task.spec.image, image)
 
-    def _get_mean(self, serving: str, image: str) -> float:
-        known = self._filters.get(serving)
-        if known is None:
+    def _get_mean(self, serving_image: str, image: str) -> float:
+        kalman_filter = self._filters.get(serving_image)
+        if kalman_filter is None:
             return PRIOR_INTERFERENCE
-        return max(0.0, known.get_mean(image))
+        return max(0.0, kalman_filter.get_mean(image))
 
-    def get_load(self, served: Task, ahead: float = 0.0) -> float:
-        """Returns the load of a serving task by itself.
+    def get_load(self, serving_task: Task, horizon: float = 0.0) -> float:
+        """Returns the load of a serving task without interference.
 
         Args:
-          served: The task.
-          ahead: Seconds from now; a rising load is followed that far.
+          serving_task: The task.
+          horizon: Time in seconds to extrapolate the trend of the load.
         """
-        known = self._filters.get(served.spec.image)
-        if known is None:
-            return START_LOAD
-        mean = known.get_mean(_name_load(served))
-        trend = self._trends.get(served.id.job)
-        if trend is not None and ahead:
-            mean += ahead * trend.measure()
-        return min(MOST_LOAD, max(LEAST_LOAD, mean))
+        kalman_filter = self._filters.get(serving_task.spec.image)
+        if kalman_filter is None:
+            return INITIAL_LOAD
+        mean = kalman_filter.get_mean(_get_load_term(serving_task))
+        trend = self._trends.get(serving_task.id.job)
+        if trend is not None and horizon:
+            mean += horizon * trend.get_slope()
+        return min(MAX_LOAD, max(MIN_LOAD, mean))
 
     def predict(
-        self, served: Task, beside: Mapping[str, float], ahead: float = 0.0
+        self,
+        serving_task: Task,
+        neighbours: Mapping[str, float],
+        horizon: float = 0.0,
     ) -> float:
-        """Predicts the utilisation of a serving task beside others."""
-        return self.get_load(served, ahead) + self.sum_interference(
-            served, beside
+        """Predicts the utilisation of a serving task with its neighbours."""
+        return self.get_load(serving_task, horizon) + self.sum_interference(
+            serving_task, neighbours
         )
 
     def sum_interference(
-        self, served: Task, beside: Mapping[str, float]
+        self, serving_task: Task, neighbours: Mapping[str, float]
     ) -> float:
-        """Returns what filling tasks add to a serving one."""
+        """Returns the utilisation that best-effort tasks add."""
         return sum(
-            count * self.get_interference(served, image)
-            for image, count in beside.items()
+            count * self.get_interference(serving_task, image)
+            for image, count in neighbours.items()
         )
 
-    def predict_place(self, served: Task, beside: Mapping[str, float]) -> float:
-        """Predicts the utilisation that a new filling task would add to."""
-        now = self.predict(served, beside)
-        return max(now, self.predict(served, beside, PLACE_AHEAD_SECONDS))
+    def predict_for_placement(
+        self, serving_task: Task, neighbours: Mapping[str, float]
+    ) -> float:
+        """Predicts the utilisation to which a new best-effort task adds."""
+        now = self.predict(serving_task, neighbours)
+        return max(
+            now,
+            self.predict(serving_task, neighbours, PLACEMENT_HORIZON_SECONDS),
+        )
 
     def measure_interference(self, images: Iterable[str], image: str) -> float:
-        """Returns the most that a filling image adds to serving ones."""
+        """Returns the maximum interference of an image with serving images."""
         return max(
-            (self._get_mean(serving, image) for serving in images),
+            (self._get_mean(serving_image, image) for serving_image in images),
             default=0.0,
         )
 
     def measure_tolerance(self, images: Iterable[str], image: str) -> float:
-        """Returns how well serving images bear a filling one, from 0 to 1."""
+        """Returns how well serving images tolerate an image, from 0 to 1."""
         return max(
             0.0,
             1 - self.measure_interference(images, image) / HEAVY_INTERFERENCE,
         )
 
     def allows(self, utilisation: Mapping[str, float], image: str) -> bool:
-        """Tells whether one more filling task keeps every tail in bounds.
+        """Returns whether one more best-effort task keeps all tails in bounds.
 
         Args:
-          utilisation: What to expect without it, by serving image.
-          image: What the filling task runs.
+          utilisation: Expected utilisation without it, by serving image.
+          image: Image of the best-effort task.
         """
-        for serving, expected in utilisation.items():
-            interference = self._get_mean(serving, image)
-            added = interference * NEW_INTENSITY
-            if interference >= LEAST_INTERFERENCE and (
-                expected + added + LOAD_RISE >= PLACE_BELOW
+        for serving_image, expected in utilisation.items():
+            interference = self._get_mean(serving_image, image)
+            added = interference * NEW_TASK_INTENSITY
+            if interference >= MIN_INTERFERENCE and (
+                expected + added + LOAD_MARGIN >= MAX_PLACEMENT_UTILISATION
             ):
                 return False
         return True
 
 
-def _name_load(task: Task) -> str:
-    # The tasks of a job serve the same users, so their loads swing together.
+def _get_load_term(task: Task) -> str:
+    # The tasks of a job serve the same users, so their loads vary together.
     return LOAD_PREFIX + task.id.job
 
 
-def _count_past(worker: Worker, now: float) -> dict[str, float]:
-    """Counts the filling tasks of the half second that a figure covers."""
+def _count_in_window(worker: Worker, now: float) -> dict[str, float]:
+    """Counts best-effort tasks by image, weighted by their time in the window.
+
+    Tasks that ended in the window of the newest measurement are included.
+    """
     counts: dict[str, float] = {}
-    for left in worker.list_recently_ended(now - FIGURE_SECONDS):
-        share = 1 - (now - left.at) / FIGURE_SECONDS
-        counts[left.image] = counts.get(left.image, 0.0) + share * left.share
+    for ended in worker.list_recently_ended(now - USAGE_WINDOW_SECONDS):
+        share = 1 - (now - ended.at) / USAGE_WINDOW_SECONDS
+        counts[ended.image] = counts.get(ended.image, 0.0) + share * ended.share
     for task in worker.tasks.values():
         if not task.spec.fills:
             continue
-        there = min(1.0, max(0.0, (now - task.placed_at) / FIGURE_SECONDS))
-        paced = min(1.0, max(0.0, (now - task.throttled_at) / FIGURE_SECONDS))
+        present_share = min(
+            1.0, max(0.0, (now - task.placed_at) / USAGE_WINDOW_SECONDS)
+        )
+        changed_share = min(
+            1.0, max(0.0, (now - task.throttled_at) / USAGE_WINDOW_SECONDS)
+        )
         percent = (
-            paced * task.cpu_percent + (1 - paced) * task.previous_cpu_percent
+            changed_share * task.cpu_percent
+            + (1 - changed_share) * task.previous_cpu_percent
         )
-        share = measure_intensity(task) * there * percent / 100
+        share = measure_intensity(task) * present_share * percent / 100
         if share > 0:
             image = task.spec.image
             counts[image] = counts.get(image, 0.0) + share
     return counts
 
 
-def count_paced(wanted: Mapping[Task, int]) -> dict[str, float]:
-    """Counts filling tasks by image, each by its pace and its spell."""
+def count_by_cpu_share(planned: Mapping[Task, int]) -> dict[str, float]:
+    """Counts best-effort tasks by image, weighted by CPU share and phase."""
     counts: dict[str, float] = {}
-    for task, percent in wanted.items():
+    for task, percent in planned.items():
         image = task.spec.image
         share = measure_intensity(task) * percent / 100
         counts[image] = counts.get(image, 0.0) + share
@@ -345,10 +368,10 @@
 
 
 def count_best_effort(worker: Worker) -> dict[str, float]:
-    """Counts a worker's filling tasks by image, slowed ones as a whole.
+    """Counts best-effort tasks by image, as if none were throttled.
 
-    Busy and quiet spells take turns, so each counts as between what it is now
-    and what it is on average.
+    Busy and quiet phases alternate, so each task counts with the average of its
+    current and its mean intensity.
     """
     counts: dict[str, float] = {}
     for task in worker.tasks.values():
--- a/lentilmount/scheduling/kalman.py
+++ b/lentilmount/scheduling/kalman.py
@@ -1,9 +1,9 @@
-"""A Kalman filter over named terms of a sum, with their covariances.
+"""Kalman filter over the named terms of a sum, with their covariances.
 
 Source: Kalman, "A New Approach to Linear Filtering and Prediction Problems",
-1960. The covariances matter here: a load that is not known yet and the
-interference of a task beside it explain the same figure, and a filter without
-them gives the error to both and is sure of both.
+1960. The covariances are needed because an unknown load and the interference of
+a neighbour explain the same measurement. A filter without them attributes the
+error to both terms and becomes overconfident in both.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 @attrs.frozen
 class Priors:
-    """What is believed of terms that were never measured.
+    """Prior means and variances of terms that were never measured.
 
     Attributes:
-      interference: Mean of an interference.
-      interference_variance: Its variance.
-      interference_drift: Growth of its variance a second.
-      load: Mean of a load.
-      load_variance: Its variance, which is also the most that it grows to.
-      load_drift: Growth of its variance a second.
-      measure_variance: Of one measurement.
-      load_prefix: What the names of loads begin with.
+      interference: Mean of an interference term.
+      interference_variance: Variance of an interference term.
+      interference_drift: Growth of that variance per second.
+      load: Mean of a load term.
+      load_variance: Variance of a load term, which is also its maximum.
+      load_drift: Growth of that variance per second.
+      measurement_variance: Variance of one measurement.
+      load_prefix: Prefix of the names of load terms.
     """
 
     interference: float
@@ -34,14 +34,14 @@
     load: float
     load_variance: float
     load_drift: float
-    measure_variance: float
+    measurement_variance: float
     load_prefix: str
 
 
 class KalmanFilter:
-    """Estimates of the terms that add up to what is measured.
+    """Estimates of the terms of a measured sum.
 
-    A correction takes time with the square of the number of terms.
+    An update takes quadratic time in the number of terms.
     """
 
     def __init__(self, priors: Priors):
@@ -49,87 +49,87 @@
         self._index: dict[str, int] = {}
         self._means: list[float] = []
         self._covariance: list[list[float]] = []
-        self._at = -math.inf
+        self._updated_at = -math.inf
 
     def add(self, name: str, mean: float, variance: float) -> int:
-        """Adds a term, or says anew what is believed of one."""
-        number = self._index.get(name)
-        if number is None:
-            number = self._index[name] = len(self._means)
+        """Adds a term or resets the estimate of one; returns its index."""
+        index = self._index.get(name)
+        if index is None:
+            index = self._index[name] = len(self._means)
             self._means.append(mean)
             for row in self._covariance:
                 row.append(0.0)
             self._covariance.append([0.0] * len(self._means))
-        self._means[number] = mean
-        self._covariance[number][number] = variance
-        return number
-
-    def _find(self, name: str) -> int:
-        number = self._index.get(name)
-        if number is not None:
-            return number
+        self._means[index] = mean
+        self._covariance[index][index] = variance
+        return index
+
+    def _get_index(self, name: str) -> int:
+        index = self._index.get(name)
+        if index is not None:
+            return index
         priors = self._priors
         if name.startswith(priors.load_prefix):
             return self.add(name, priors.load, priors.load_variance)
         return self.add(name, priors.interference, priors.interference_variance)
 
     def remove(self, name: str) -> None:
-        """Forgets a term."""
-        number = self._index.pop(name, None)
-        if number is None:
+        """Removes a term."""
+        index = self._index.pop(name, None)
+        if index is None:
             return
-        del self._means[number]
-        del self._covariance[number]
+        del self._means[index]
+        del self._covariance[index]
         for row in self._covariance:
-            del row[number]
-        for other, index in self._index.items():
-            if index > number:
-                self._index[other] = index - 1
-
-    def age(self, now: float) -> None:
-        """Lets doubt grow since the last call."""
-        passed = min(60.0, max(0.0, now - self._at))
-        if math.isinf(self._at):
-            passed = 0.0
-        self._at = now
+            del row[index]
+        for other, other_index in self._index.items():
+            if other_index > index:
+                self._index[other] = other_index - 1
+
+    def advance_time(self, now: float) -> None:
+        """Increases the variances for the time since the last call."""
+        elapsed = min(60.0, max(0.0, now - self._updated_at))
+        if math.isinf(self._updated_at):
+            elapsed = 0.0
+        self._updated_at = now
         priors = self._priors
-        for name, number in self._index.items():
+        for name, index in self._index.items():
             is_load = name.startswith(priors.load_prefix)
-            most = (
+            max_variance = (
                 priors.load_variance
                 if is_load
                 else priors.interference_variance
             )
             drift = priors.load_drift if is_load else priors.interference_drift
-            row = self._covariance[number]
-            if row[number] < most:
-                row[number] = min(most, row[number] + drift * passed)
+            row = self._covariance[index]
+            if row[index] < max_variance:
+                row[index] = min(max_variance, row[index] + drift * elapsed)
 
     def predict(self, terms: dict[str, float]) -> float:
-        """Returns the sum of terms, each as often as told."""
+        """Returns the weighted sum of terms."""
         return sum(
-            count * self._means[self._find(name)]
+            count * self._means[self._get_index(name)]
             for name, count in terms.items()
         )
 
-    def correct(self, terms: dict[str, float], measured: float) -> None:
-        """Corrects the estimates by a measured sum."""
-        used = [(self._find(name), count) for name, count in terms.items()]
+    def update(self, terms: dict[str, float], measured: float) -> None:
+        """Updates the estimates with a measured sum of weighted terms."""
+        used = [(self._get_index(name), count) for name, count in terms.items()]
         gains = [
-            sum(row[number] * count for number, count in used)
+            sum(row[index] * count for index, count in used)
             for row in self._covariance
         ]
-        uncertain = self._priors.measure_variance + sum(
-            gains[number] * count for number, count in used
+        innovation_variance = self._priors.measurement_variance + sum(
+            gains[index] * count for index, count in used
         )
         expected = sum(self._means[n] * count for n, count in used)
-        error = (measured - expected) / uncertain
+        error = (measured - expected) / innovation_variance
         self._means = [
             mean + gain * error
             for mean, gain in zip(self._means, gains, strict=True)
         ]
         for row, gain in zip(self._covariance, gains, strict=True):
-            factor = gain / uncertain
+            factor = gain / innovation_variance
             if factor:
                 row[:] = [
                     value - factor * other
@@ -137,16 +137,16 @@
                 ]
 
     def get_mean(self, name: str) -> float:
-        """Returns the best guess of a term."""
-        number = self._index.get(name)
-        if number is not None:
-            return self._means[number]
+        """Returns the estimated mean of a term, or its prior."""
+        index = self._index.get(name)
+        if index is not None:
+            return self._means[index]
         is_load = name.startswith(self._priors.load_prefix)
         return self._priors.load if is_load else self._priors.interference
 
-    def list_known(self) -> list[tuple[str, float, float]]:
-        """Lists terms with their means and variances."""
+    def list_terms(self) -> list[tuple[str, float, float]]:
+        """Returns the name, mean and variance of each term."""
         return [
-            (name, self._means[number], self._covariance[number][number])
-            for name, number in self._index.items()
+            (name, self._means[index], self._covariance[index][index])
+            for name, index in self._index.items()
         ]
--- a/lentilmount/scheduling/model.py
+++ b/lentilmount/scheduling/model.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks and workers, as the owner of a service sees them."""
+"""Data model of jobs, tasks and workers in the owner of a service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JobState(enum.Enum):
-    """What a client is told of a job."""
+    """State of a job as shown to clients."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -23,12 +23,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job never changes again."""
+        """Whether the state never changes again."""
         return self not in (JobState.QUEUED, JobState.RUNNING)
 
 
 class TaskPhase(enum.Enum):
-    """Where a task is."""
+    """Phase in the life cycle of a task."""
 
     WAITING = 'waiting'
     STARTING = 'starting'
@@ -48,34 +48,37 @@
 
 @attrs.define(eq=False)
 class Task:
-    """One task.
+    """State of one task.
 
     Attributes:
-      id: Its name.
-      spec: Its step.
-      job: Its job.
-      phase: Where it is.
-      run: Number of its newest start that is known; 0 before the first.
-      skipped: Run numbers after it that a previous owner may have used.
-      worker: Where it is placed, or ''.
+      id: Id of the task.
+      spec: Specification of its step.
+      job: Job that it belongs to.
+      phase: Current phase.
+      run: Number of the newest known run; 0 before the first.
+      skipped: How many further run numbers a previous owner may have used.
+      worker: Id of the worker where it is placed, or ''.
       checkpoint: Newest checkpoint, or ''.
-      failed_runs: Runs whose ends count against its job.
-      failed_on: Workers on which it failed.
-      placed_at: Monotonic time of its newest start.
-      confirmed_at: Monotonic time at which its worker had surely started it.
-      start_deadline_ms: By when its start must begin, on its worker's clock; 0
-        if none was sent.
-      start_expired_at: Monotonic time at which that was surely past.
-      stopped_at: Monotonic time at which its worker had surely begun to
-        stop it.
-      cpu_percent: Share of the time in which we let it work.
-      previous_cpu_percent: The same before it was changed last.
-      throttled_at: Monotonic time of that change.
-      usage: Newest figure: tail in ms if it serves, else thousandths of a
-        core in use.
-      idle_since: Monotonic time since which it has used no processor.
-      last_ended_at: Monotonic time of its last end; lasting tasks must be back
-        soon after.
+      failed_runs: Numbers of the failed runs that count against its job.
+      failed_on: Ids of the workers on which it failed.
+      placed_at: Monotonic time of the newest placement in seconds.
+      confirmed_at: Monotonic time by which its worker has certainly started it;
+        infinity until then, 0 if it was restored from a row and not reported.
+      start_deadline_ms: Deadline for the start in ms of the worker's clock; 0
+        if no start was sent.
+      start_expired_at: Monotonic time by which that deadline has certainly
+        passed.
+      stopped_at: Monotonic time by which its worker has certainly begun to stop
+        it.
+      cpu_percent: Share of time in percent for which it may use the processor.
+      previous_cpu_percent: That share before the last change.
+      throttled_at: Monotonic time of that change in seconds.
+      usage: Newest measurement: tail latency in ms of a serving task, otherwise
+        millicores in use.
+      idle_since: Monotonic time since which it has used no processor time;
+        infinity if it is not idle.
+      last_ended_at: Monotonic time at which its last run ended. A long-running
+        task must run again soon after.
     """
 
     id: TaskId
@@ -102,62 +105,65 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it has a tail target of its own."""
+        """Whether the task has a tail latency target."""
         return self.spec.target_ms > 0
 
     @property
     def failures(self) -> int:
-        """How many ends count against its job."""
+        """Number of failed runs that count against the job."""
         return len(self.failed_runs)
 
 
 BUSY_USAGE = 1.0
 QUIET_USAGE = 0.67
-"""Shares of its cores that a filling task uses in its busy and its quiet
-spells, which take turns every few seconds, task by task."""
+"""Share of its cores that a best-effort task uses in its busy and quiet phases.
+The phases alternate every few seconds, independently for each task."""
 
 QUIET_INTENSITY = 0.4
-"""Interference of a task in a quiet spell, over that in a busy one."""
+"""Interference of a task in a quiet phase, relative to a busy phase."""
 
 MEAN_INTENSITY = 0.76
-"""The same on average: tasks are busy more often than quiet."""
+"""Mean interference over both phases. It is above the midpoint because tasks
+are busy more often than quiet."""
 
-LEAST_SHOWN_PERCENT = 20
-"""Slowed further, a task's usage does not tell its spells."""
+MIN_MEASURABLE_PERCENT = 20
+"""CPU share in percent below which usage does not distinguish the phases."""
 
 
 def measure_intensity(task: Task) -> float:
-    """Returns how much a filling task interferes now, 1 for a busy spell."""
-    if task.usage is None or task.cpu_percent < LEAST_SHOWN_PERCENT:
+    """Returns the current interference of a best-effort task (busy: 1)."""
+    if task.usage is None or task.cpu_percent < MIN_MEASURABLE_PERCENT:
         return MEAN_INTENSITY
     allowed = 10 * task.spec.demand.cores * task.cpu_percent
     used = task.usage / allowed if allowed else BUSY_USAGE
-    place = (used - QUIET_USAGE) / (BUSY_USAGE - QUIET_USAGE)
-    place = min(1.0, max(0.0, place))
-    return QUIET_INTENSITY + place * (1 - QUIET_INTENSITY)
+    position = (used - QUIET_USAGE) / (BUSY_USAGE - QUIET_USAGE)
+    position = min(1.0, max(0.0, position))
+    return QUIET_INTENSITY + position * (1 - QUIET_INTENSITY)
 
 
 @attrs.define(eq=False)
 class Job:
-    """A job and its tasks.
+    """State of a job and its tasks.
 
     Attributes:
-      spec: As accepted.
-      accepted_at: Monotonic time of acceptance, as far as it is known.
-      state: What clients are told.
-      tasks: Its tasks, those of occurrences that are due.
-      occurrences: How many occurrences have tasks.
-      objective: Seconds in which it should be completed.
-      critical_paths: For each step, the seconds of the longest chain it begins.
-      version: Version of its state's row; 0 before the first write.
-      row_version: Version of its own row.
-      cancel_version: Version of its cancellation's row, if there is one.
-      ended_at: Monotonic time at which it ended, as far as it is known.
-      remaining: Tasks of each (occurrence, step) that are not done.
-      was_placed: Whether any task was placed.
-      has_started: Whether a worker has surely begun any task.
-      first_placed_at: Monotonic time of the first start by this owner.
-      is_end_logged: Whether its end was logged, here or by an earlier owner.
+      spec: Specification as accepted.
+      accepted_at: Estimated monotonic time of acceptance in seconds.
+      state: State shown to clients.
+      tasks: Tasks of the occurrences created so far, by id.
+      occurrences: Number of occurrences whose tasks exist.
+      objective: Time in seconds within which the job should complete.
+      critical_paths: For each step, the length in seconds of the longest path
+        of steps that starts with it.
+      version: Version of the job's state row; 0 before the first write.
+      row_version: Version of the job's own row.
+      cancel_version: Version of the row that requests its cancellation, if any.
+      ended_at: Estimated monotonic time at which the job ended.
+      remaining: Number of unfinished tasks by (occurrence, step).
+      was_placed: Whether any task was ever placed.
+      has_started: Whether a worker has certainly started any task.
+      first_placed_at: Monotonic time of the first placement by this owner.
+      is_end_logged: Whether the end was logged, by this owner or an earlier
+        one.
     """
 
     spec: JobSpec
@@ -180,12 +186,12 @@
 
 @attrs.frozen
 class EndedTask:
-    """A filling task that has ended.
+    """A best-effort task that has ended on a worker.
 
     Attributes:
-      image: What it ran.
-      share: Share of the time in which it could work, times its intensity.
-      at: Monotonic time of its end.
+      image: Image that it ran.
+      share: CPU share (0 to 1) times interference intensity.
+      at: Monotonic time at which it ended, in seconds.
     """
 
     image: str
@@ -195,31 +201,31 @@
 
 @attrs.define(eq=False)
 class Worker:
-    """A worker as the owner sees it.
+    """State of a worker as known to the owner.
 
     Attributes:
-      entry: Its newest registration.
-      tasks: Tasks that it runs or may run, those being stopped included.
-      has_answered: Whether it has answered this owner.
-      reachable: Whether its last look was answered.
-      has_missed_poll: Whether a look at it got no answer since it last
-        answered.
-      is_reported_unreachable: Whether the service's lease may tell the next
-        owner that its leases are no longer renewed.
-      answers_commands: Whether its last order was answered.
+      entry: Newest registration.
+      tasks: Tasks that it runs or may run, including those being stopped.
+      has_answered: Whether it has ever answered this owner.
+      reachable: Whether it answered the last poll.
+      has_missed_poll: Whether a poll has failed since its last answer.
+      is_reported_unreachable: Whether the service's lease row may list it as
+        unreachable, so that the next owner assumes its leases are no longer
+        renewed.
+      answers_commands: Whether it answered the last command.
       stop_unanswered_since: Monotonic time since which it has answered no
-        order while a stop is asked of it; infinity if none is.
-      renews_leases: Whether its leases may be renewed.
-      is_registered: Whether it is registered now.
-      runs_unknown_tasks: Whether it runs something that this owner does not
+        command while a stop is pending; infinity if there is none.
+      renews_leases: Whether the owner may renew its leases.
+      is_registered: Whether it is currently registered.
+      runs_unknown_tasks: Whether it runs tasks of jobs that this owner does not
         know.
-      has_stale_runs: Whether it runs something that should not be there.
-      leases_expire_at: Monotonic time by which all leases there have run out;
-        0 if none is known.
-      quarantined_until: Monotonic time until which it gets no work.
-      on_probation: Whether it gets one task to try it.
-      slowdown: How long tasks take there, as a multiple of what was expected.
-      change_count: Raised whenever its tasks or what is known of them change.
+      has_stale_runs: Whether it runs tasks that must be stopped.
+      leases_expire_at: Monotonic time by which all its leases have expired; 0
+        if there are none known.
+      quarantined_until: Monotonic time until which it gets no new tasks.
+      on_probation: Whether it gets only one task, to test it.
+      slowdown: Run time of tasks there relative to their estimates.
+      change_count: Incremented whenever its tasks or their state change.
     """
 
     entry: WorkerEntry
@@ -240,24 +246,24 @@
     slowdown: float = 1.0
     change_count: int = 0
     _used: Room | None = None
-    _left: list[EndedTask] = attrs.Factory(list)
+    _ended_tasks: list[EndedTask] = attrs.Factory(list)
 
     @property
     def id(self) -> str:
-        """Its id."""
+        """Id of the worker."""
         return self.entry.id
 
     @property
     def rack(self) -> str:
-        """Its rack: the last label."""
+        """Rack of the worker, which is its last label."""
         return self.entry.labels[-1] if self.entry.labels else ''
 
     @property
     def used(self) -> Room:
-        """What its tasks reserve, those being stopped included."""
+        """Resources reserved by its tasks, including those being stopped."""
         if self._used is None:
-            # Summed anew each time: amounts added and taken away again for
-            # hours would leave a rounding error behind.
+            # Summed from scratch: incremental additions and subtractions
+            # would accumulate rounding errors over hours.
             total = Room()
             for task in self.tasks.values():
                 total = total.add(task.spec.reserved)
@@ -265,13 +271,13 @@
         return self._used
 
     def add(self, task: Task) -> None:
-        """Takes in a task that runs or will run here."""
+        """Adds a task that runs or will run on the worker."""
         self.tasks[task.id] = task
         self._used = None
         self.change_count += 1
 
     def remove(self, task: Task) -> None:
-        """Takes out a task that surely no longer runs here."""
+        """Removes a task that certainly no longer runs on the worker."""
         if self.tasks.get(task.id) is task:
             del self.tasks[task.id]
             self._used = None
@@ -279,21 +285,26 @@
 
     @property
     def is_being_tested(self) -> bool:
-        """Whether a task was placed here since it was closed."""
+        """Whether a task was placed there since its quarantine ended."""
         return any(
             task.placed_at >= self.quarantined_until
             for task in self.tasks.values()
         )
 
-    def record_ended_task(self, left: EndedTask) -> None:
-        """Remembers a filling task for the figures that still cover it."""
-        self._left.append(left)
+    def record_ended_task(self, ended: EndedTask) -> None:
+        """Remembers a best-effort task for measurements that still cover it."""
+        self._ended_tasks.append(ended)
 
     def list_recently_ended(self, since: float) -> list[EndedTask]:
-        """Lists the filling tasks that ended after a time."""
-        self._left = [left for left in self._left if left.at > since]
-        return self._left
+        """Lists the best-effort tasks that ended after a monotonic time.
+
+        Older ones are dropped.
+        """
+        self._ended_tasks = [
+            ended for ended in self._ended_tasks if ended.at > since
+        ]
+        return self._ended_tasks
 
     def fits(self, demand: Room) -> bool:
-        """Tells whether a demand fits beside what is reserved."""
+        """Returns whether a demand fits into the unreserved capacity."""
         return demand.fits(self.entry.capacity.subtract(self.used))
--- a/lentilmount/scheduling/placement.py
+++ b/lentilmount/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task goes to."""
+"""Choice of a worker for each ready task."""
 
 from __future__ import annotations
 
@@ -10,36 +10,38 @@
 import attrs
 
 from lentilmount.resources import Room
+from lentilmount.scheduling.candidates import IsAllowed, StepCandidates
 from lentilmount.scheduling.cluster import ClusterState
-from lentilmount.scheduling.consolidation import Consolidation
-from lentilmount.scheduling.costs import Costs
+from lentilmount.scheduling.consolidation import Consolidator
+from lentilmount.scheduling.costs import CostModel
 from lentilmount.scheduling.demand import BestEffortDemand
 from lentilmount.scheduling.headroom import Headroom
 from lentilmount.scheduling.interference import InterferenceModel
 from lentilmount.scheduling.model import Task, TaskPhase, Worker
-from lentilmount.scheduling.offers import Allows, Offers
 from lentilmount.scheduling.ranking import (
-    is_gathering,
-    is_new,
+    has_never_run,
+    is_coalescing,
     is_restart_overdue,
     sort_steps,
 )
 from lentilmount.scheduling.reservations import WorkerReservations
 from lentilmount.scheduling.specs import StepSpec
-from lentilmount.scheduling.views import Views, WorkerView
+from lentilmount.scheduling.views import WorkerView, WorkerViews
 
 MAX_FAILED_STEPS = 40
-"""Steps of one kind for which no worker is found in a pass before the others
-of that kind are left to the next one: it bounds the time of a pass."""
+"""Number of steps of one kind without a suitable worker after which a pass
+skips the rest of that kind. It bounds the duration of a pass."""
 
-Chosen = tuple[Task, Worker]
-Shape = tuple[str, str, bool]
-"""What tasks have in common of which the smaller fits wherever the larger does:
-label, filling image, and whether they fill."""
+Placement = tuple[Task, Worker]
+StepShape = tuple[str, str, bool]
+"""Requirements of a step besides its size.
 
+These are the label, the best-effort image and whether the step is best-effort.
+Among steps of one shape, a smaller one fits wherever a larger one does."""
 
-class Kind(enum.Enum):
-    """What a task asks of a worker. A want of one is no want of another."""
+
+class TaskKind(enum.Enum):
+    """Kind of task; a shortage for one kind says nothing about the others."""
 
     LONG_RUNNING = enum.auto()
     BEST_EFFORT = enum.auto()
@@ -48,117 +50,126 @@
 
 @attrs.define
 class Placer:
-    """Chooses workers for the tasks of a book that are ready."""
+    """Chooses workers for the ready tasks of a cluster state."""
 
     cluster: ClusterState
     interference_model: InterferenceModel
-    _views: Views = attrs.field(init=False)
-    _consolidation: Consolidation = attrs.field(init=False)
+    _views: WorkerViews = attrs.field(init=False)
+    _consolidator: Consolidator = attrs.field(init=False)
     _headroom: Headroom = attrs.field(init=False)
-    _holds: WorkerReservations = attrs.Factory(WorkerReservations)
+    _reservations: WorkerReservations = attrs.Factory(WorkerReservations)
 
     def __attrs_post_init__(self) -> None:
-        """Keeps what is worked out from pass to pass."""
-        self._views = Views(self.cluster, self.interference_model)
+        """Creates the state that is kept between passes."""
+        self._views = WorkerViews(self.cluster, self.interference_model)
         demand = BestEffortDemand(self.cluster, self.interference_model)
-        self._consolidation = Consolidation(self.cluster, demand)
+        self._consolidator = Consolidator(self.cluster, demand)
         self._headroom = Headroom(self.cluster)
 
     def choose_moves(self, now: float) -> list[Task]:
-        """Chooses serving tasks to be stopped, as they serve better elsewhere.
+        """Chooses serving tasks to stop so that they run elsewhere instead.
 
-        Placed again they go to a worker of their image, where there is room.
+        They are placed again on a worker that serves their image and has room.
         """
-        if not self._consolidation.is_due(now):
+        if not self._consolidator.is_due(now):
             return []
-        return self._consolidation.choose(self._views.list_open(now), now)
+        return self._consolidator.choose(self._views.list_open(now), now)
+
+    def place(self, now: float, is_allowed: IsAllowed) -> list[Placement]:
+        """Places all tasks that can be placed now and returns the placements.
 
-    def place(self, now: float, allows: Allows) -> list[Chosen]:
-        """Places what can be placed now, and returns it."""
+        Args:
+          now: Monotonic time.
+          is_allowed: Whether a task may run on a worker, by rules outside the
+            cluster state.
+        """
         if not self.cluster.ready:
             return []
         views = self._views.list_open(now)
         self._headroom.update(now)
-        self._holds.expire(now)
-        work = _Pass(
+        self._reservations.expire(now)
+        placement_pass = _PlacementPass(
             self.cluster,
             self.interference_model,
             self._headroom,
-            self._holds,
+            self._reservations,
             views,
             now,
-            allows,
+            is_allowed,
         )
-        return work.run()
+        return placement_pass.run()
 
 
-class _Pass:
-    """One pass over the queue."""
+class _PlacementPass:
+    """One pass over the queue of ready tasks."""
 
     def __init__(
         self,
         cluster: ClusterState,
         interference_model: InterferenceModel,
         headroom: Headroom,
-        holds: WorkerReservations,
+        reservations: WorkerReservations,
         views: list[WorkerView],
         now: float,
-        allows: Allows,
+        is_allowed: IsAllowed,
     ):
         self._cluster = cluster
         self._interference_model = interference_model
         self._headroom = headroom
-        self._holds = holds
-        self._costs = Costs(cluster, interference_model)
+        self._reservations = reservations
+        self._costs = CostModel(cluster, interference_model)
         self._now = now
-        self._allows = allows
-        self._hopeless: dict[Shape, list[Room]] = {}
+        self._is_allowed = is_allowed
+        self._infeasible: dict[StepShape, list[Room]] = {}
         self._views = views
         self._most_free = _find_most_free(views)
 
-    def run(self) -> list[Chosen]:
+    def run(self) -> list[Placement]:
         """Places the tasks of each step until one does not fit."""
-        placed: list[Chosen] = []
-        failed: collections.Counter[Kind] = collections.Counter()
+        placed: list[Placement] = []
+        failed: collections.Counter[TaskKind] = collections.Counter()
         steps = sort_steps(self._cluster.ready.values(), self._now)
         newest = max(
-            (s[0].job.accepted_at for s in steps if is_new(s[0])),
+            (s[0].job.accepted_at for s in steps if has_never_run(s[0])),
             default=0.0,
         )
         for step in steps:
-            if is_gathering(step, newest, self._now):
+            if is_coalescing(step, newest, self._now):
                 continue
-            kind = find_kind(step[0].spec)
-            if failed[kind] <= MAX_FAILED_STEPS and self._is_tried(step, kind):
+            kind = get_kind(step[0].spec)
+            if failed[kind] <= MAX_FAILED_STEPS and self._should_try(
+                step, kind
+            ):
                 found, is_whole = self._place_step(step)
                 placed += found
                 failed[kind] += not is_whole
             if is_restart_overdue(step[0], self._now):
-                self._hold_worker(step)
+                self._reserve_worker(step)
         return placed
 
-    def _is_tried(self, step: list[Task], kind: Kind) -> bool:
-        """Tells whether a worker is looked for now."""
-        if self._is_hopeless(step[0].spec):
+    def _should_try(self, step: list[Task], kind: TaskKind) -> bool:
+        """Returns whether to search for a worker for a step in this pass."""
+        if self._is_infeasible(step[0].spec):
             return False
-        return kind is not Kind.LONG_RUNNING or not self._headroom.keeps_room(
-            step, self._views, self._now
+        return (
+            kind is not TaskKind.LONG_RUNNING
+            or not self._headroom.should_keep_free(step, self._views, self._now)
         )
 
-    def _hold_worker(self, step: list[Task]) -> None:
-        """Holds a worker for what waits of a step until it fits there."""
+    def _reserve_worker(self, step: list[Task]) -> None:
+        """Reserves a worker for the first task of a step that still waits."""
         waiting = (t for t in step if t.phase is TaskPhase.WAITING)
         task = next(waiting, None)
         if task is None:
             return
-        view = self._holds.reserve(task, self._views, self._now)
+        view = self._reservations.reserve(task, self._views, self._now)
         if view is not None:
             self._views.remove(view)
 
-    def _place_step(self, step: list[Task]) -> tuple[list[Chosen], bool]:
-        """Places tasks of a step; tells whether a worker was found for all."""
-        placed: list[Chosen] = []
-        offers: Offers | None = None
+    def _place_step(self, step: list[Task]) -> tuple[list[Placement], bool]:
+        """Places tasks of a step; returns them and whether all were placed."""
+        placed: list[Placement] = []
+        candidates: StepCandidates | None = None
         for task in step:
             if task.phase is not TaskPhase.WAITING:
                 continue
@@ -168,64 +179,66 @@
                 if not members:
                     return placed, False
                 continue
-            if offers is None and _is_like_its_step(task):
-                offers = self._ask_all(task)
-            shared = offers if _is_like_its_step(task) else None
+            if candidates is None and _shares_step_costs(task):
+                candidates = self._find_candidates(task)
+            shared = candidates if _shares_step_costs(task) else None
             view = self._find_worker(task, shared)
             if view is None:
                 return placed, False
             self._cluster.place([task], view.worker, self._now)
             view.refresh(self._interference_model)
-            if offers is not None:
-                offers.refresh(view)
+            if candidates is not None:
+                candidates.refresh(view)
             placed.append((task, view.worker))
         return placed, True
 
-    def _ask_all(self, task: Task) -> Offers:
-        """Asks all workers for a step that a task stands for."""
-        offers = Offers(task, self._allows, self._costs.make_price(task))
-        offers.ask_all(self._views)
-        return offers
+    def _find_candidates(self, task: Task) -> StepCandidates:
+        """Evaluates all workers for the step that a task represents."""
+        candidates = StepCandidates(
+            task, self._is_allowed, self._costs.make_cost_function(task)
+        )
+        candidates.evaluate(self._views)
+        return candidates
 
     def _find_worker(
-        self, task: Task, offers: Offers | None
+        self, task: Task, candidates: StepCandidates | None
     ) -> WorkerView | None:
-        if offers is None:
+        if candidates is None:
             return self._choose(task, self._views)
-        view = offers.find_cheapest()
-        if view is None and not offers.is_held_back:
-            self._note_hopeless(task)
+        view = candidates.find_cheapest()
+        if view is None and not candidates.has_excluded_workers:
+            self._record_infeasible(task)
         return view
 
-    def _place_gang(self, task: Task) -> list[Chosen]:
-        """Places all members or none: alone each would only wait."""
-        members = self._cluster.list_step(task)
+    def _place_gang(self, task: Task) -> list[Placement]:
+        """Places all members of a gang or none: they only work together."""
+        members = self._cluster.list_step_tasks(task)
         if any(t.phase is not TaskPhase.WAITING for t in members):
             return []
         newest = max((t.checkpoint for t in members), default='')
-        before = [(t, t.run, t.skipped) for t in members]
-        self._cluster.number(members)
+        previous = [(t, t.run, t.skipped) for t in members]
+        self._cluster.assign_run_number(members)
         views = self._views
-        chosen: list[Chosen] = []
+        placed: list[Placement] = []
         for member in members:
             member.checkpoint = newest
             view = self._choose(member, views)
             if view is None:
-                self._undo(chosen, before)
+                self._revert(placed, previous)
                 return []
-            self._cluster.place_numbered(member, view.worker, self._now)
+            self._cluster.place_with_run_number(member, view.worker, self._now)
             view.refresh(self._interference_model)
-            chosen.append((member, view.worker))
+            placed.append((member, view.worker))
             if task.spec.same_rack:
                 views = [v for v in views if v.worker.rack == view.worker.rack]
-        return chosen
+        return placed
 
-    def _undo(
-        self, chosen: list[Chosen], before: list[tuple[Task, int, int]]
+    def _revert(
+        self, placed: list[Placement], previous: list[tuple[Task, int, int]]
     ) -> None:
-        for member, _ in chosen:
+        for member, _ in placed:
             self._cluster.reject_start(member, member.run)
-        for member, run, skipped in before:
+        for member, run, skipped in previous:
             member.run = run
             member.skipped = skipped
         for view in self._views:
@@ -234,59 +247,61 @@
     def _choose(
         self, task: Task, views: Iterable[WorkerView]
     ) -> WorkerView | None:
-        """Returns the cheapest worker that may take a task, or None."""
+        """Returns the cheapest worker that may run a task, or None."""
         fitting = [view for view in views if view.can_start(task)]
-        able = [v for v in fitting if self._allows(task, v.worker)]
-        best = self._find_cheapest(task, able)
-        if best is None and len(able) == len(fitting):
-            self._note_hopeless(task)
+        allowed = [v for v in fitting if self._is_allowed(task, v.worker)]
+        best = self._find_cheapest(task, allowed)
+        if best is None and len(allowed) == len(fitting):
+            self._record_infeasible(task)
         return best
 
     def _find_cheapest(
-        self, task: Task, able: list[WorkerView]
+        self, task: Task, allowed: list[WorkerView]
     ) -> WorkerView | None:
-        untried = able
+        preferred = allowed
         if task.failed_on:
-            untried = [v for v in able if v.worker.id not in task.failed_on]
-        cost = self._costs.make_price(task)
-        best, least = None, math.inf
-        for view in untried or able:
-            price = cost(view)
-            if price < least:
-                best, least = view, price
+            preferred = [
+                v for v in allowed if v.worker.id not in task.failed_on
+            ]
+        cost_function = self._costs.make_cost_function(task)
+        best, lowest_cost = None, math.inf
+        for view in preferred or allowed:
+            cost = cost_function(view)
+            if cost < lowest_cost:
+                best, lowest_cost = view, cost
         return best
 
-    def _note_hopeless(self, task: Task) -> None:
-        """Notes that no more steps like a task's need be tried.
+    def _record_infeasible(self, task: Task) -> None:
+        """Records that steps like a task's, and larger ones, will not fit.
 
-        Rooms only shrink during a pass. Members of gangs, steps that are
-        bounded per worker, and tasks that have failed somewhere find none for
-        reasons of their own.
+        Free resources only shrink during a pass. Gangs, steps with a limit per
+        worker and tasks that failed on some worker are left out, because they
+        can fail to fit for other reasons than size.
         """
         spec = task.spec
-        own = spec.gang or spec.most_per_worker or task.failed_on
-        if not own:
-            self._hopeless.setdefault(make_shape(spec), []).append(spec.demand)
+        has_other_limits = spec.gang or spec.most_per_worker or task.failed_on
+        if not has_other_limits:
+            self._infeasible.setdefault(get_shape(spec), []).append(spec.demand)
 
-    def _is_hopeless(self, spec: StepSpec) -> bool:
-        """Tells whether it is known without a look that no worker fits."""
+    def _is_infeasible(self, spec: StepSpec) -> bool:
+        """Returns whether a step is known to fit on no worker in this pass."""
         if not spec.reserved.fits(self._most_free):
             return True
-        smaller = self._hopeless.get(make_shape(spec), ())
+        smaller = self._infeasible.get(get_shape(spec), ())
         return any(demand.fits(spec.demand) for demand in smaller)
 
 
-def _is_like_its_step(task: Task) -> bool:
-    """Whether a worker costs a task what it costs the others of its step.
+def _shares_step_costs(task: Task) -> bool:
+    """Returns whether the costs of a task equal those of its step.
 
-    A lasting task's cost depends on where the others are, and one that has
-    failed somewhere keeps away from there.
+    The cost of a long-running task depends on where the others are, and a task
+    that has failed on a worker avoids it.
     """
     return not task.spec.lasting and not task.failed_on
 
 
 def _find_most_free(views: list[WorkerView]) -> Room:
-    """Returns the most of each resource that any worker has free."""
+    """Returns the maximum free amount of each resource over all workers."""
     return Room(
         max((view.free.cores for view in views), default=0.0),
         max((view.free.memory_mb for view in views), default=0),
@@ -294,13 +309,13 @@
     )
 
 
-def make_shape(spec: StepSpec) -> Shape:
-    """Returns what decides beside its size which workers can take a step."""
+def get_shape(spec: StepSpec) -> StepShape:
+    """Returns the shape of a step."""
     return (spec.label, spec.image if spec.fills else '', spec.fills)
 
 
-def find_kind(spec: StepSpec) -> Kind:
-    """Returns the kind of a step."""
+def get_kind(spec: StepSpec) -> TaskKind:
+    """Returns the kind of a step's tasks."""
     if spec.lasting:
-        return Kind.LONG_RUNNING
-    return Kind.BEST_EFFORT if spec.fills else Kind.PLAIN
+        return TaskKind.LONG_RUNNING
+    return TaskKind.BEST_EFFORT if spec.fills else TaskKind.PLAIN
--- a/lentilmount/scheduling/ranking.py
+++ b/lentilmount/scheduling/ranking.py
@@ -1,19 +1,20 @@
-"""Which task is placed first.
+"""Order in which waiting tasks are placed.
 
-Load pattern: more work than fits, in waves. Serving the earliest deadline
-first makes every job late once there is too much; so jobs that can still be
-in time go first, by deadline, then those that can still be of some use, then
+Load pattern: more work than fits, arriving in waves. Earliest deadline first
+makes every job late under overload. So jobs that can still meet their objective
+go first, ordered by deadline, then jobs that are late but still useful, then
 the rest, which must be finished all the same.
 
-Filling work has few places, fewer than it has jobs. Shared among all of them
-each job gets on slowly and all are late, so what is begun goes on before more
-is begun, the least work left first.
+Best-effort tasks have fewer slots than there are jobs. Sharing the slots among
+all jobs slows each of them down until all are late. So jobs that were started
+continue before others start, with the least remaining work first.
 
-Urgent work of a second needs a core now; a lasting task that takes it keeps it
-for a minute. So what can still be in time goes before lasting tasks, but not
-for ever: short tasks are smaller, and while they come, no gap grows large
-enough for a lasting one. One that has run and is away for some seconds goes
-before all others.
+Urgent tasks take about a second and need a core at once, while a long-running
+task would keep that core for a minute. So urgent tasks that can be in time go
+before long-running tasks, but not without limit: they are smaller, and while
+they keep arriving, no gap becomes large enough for a long-running task. A
+long-running task that was interrupted and has not run again for some seconds
+goes before all others.
 """
 
 from __future__ import annotations
@@ -26,99 +27,111 @@
 from lentilmount.scheduling.model import Job, Task
 from lentilmount.scheduling.views import get_step_key
 
-USEFUL_MULTIPLE = 3.0
-"""A job that is later than this multiple of its objective is of no more use
-to who sent it: the users' measure of late work."""
+MAX_USEFUL_MULTIPLE = 3.0
+"""Multiple of its objective after which a late job is of no use to the user."""
 
 
 URGENT_PRIORITY = 0
-"""Queues of this priority come before all others."""
+"""Queues of this priority go before all others."""
 
 
-class Outlook(enum.IntEnum):
-    """How a job can still end."""
+class Timeliness(enum.IntEnum):
+    """Whether a job can still meet its objective."""
 
     IN_TIME = 0
     LATE = 1
-    USELESS = 2
+    TOO_LATE = 2
 
 
-GATHER_SECONDS = 0.2
-"""How long new lasting steps wait for the next one to be placed with them.
-They often come together; placed by image and size they fill fewer workers,
-and mix less. Lasting jobs have seconds until their objective."""
+COALESCE_SECONDS = 0.2
+"""How long a new long-running step waits for others to be placed with it. They
+often arrive together, and placed in order of image and size they use fewer
+workers and mix fewer images. Long-running jobs have an objective of seconds."""
 
-MOST_GATHER_SECONDS = 0.8
-"""How long a lasting step waits at most while others keep coming."""
+MAX_COALESCE_SECONDS = 0.8
+"""Maximum wait of a long-running step while others keep arriving."""
 
 RESTART_OVERDUE_SECONDS = 4.0
-"""How long a lost lasting task lets urgent work go first. Where there is room
-for it, it is to be back within 6 s."""
+"""How long an interrupted long-running task yields to urgent tasks. It must run
+again within 6 s if there are resources for it."""
 
 Rank = tuple[int, tuple[Any, ...]]
-"""A turn, and the order within it; the smallest goes first."""
+"""Priority class, and the order within it; the smallest goes first."""
 
 
-class Turn(enum.IntEnum):
-    """Which of all tasks come before which."""
+class PriorityClass(enum.IntEnum):
+    """Priority classes of waiting tasks, the first to be placed first."""
 
-    AWAY = 0
+    RESTART_OVERDUE = 0
     URGENT = 1
-    LASTING = 2
+    LONG_RUNNING = 2
     OTHER = 3
 
 
-def is_gathering(step: list[Task], newest: float, now: float) -> bool:
-    """Tells whether a new lasting step waits for others like it.
+def is_coalescing(step: list[Task], newest_arrival: float, now: float) -> bool:
+    """Returns whether a new long-running step waits for others like it.
 
     Args:
-      step: Tasks of the step that are ready.
-      newest: Monotonic time at which the newest lasting job came.
+      step: Ready tasks of the step.
+      newest_arrival: Monotonic time at which the newest long-running job
+        arrived.
       now: Monotonic time.
     """
     first = step[0]
-    if not is_new(first) or now - newest >= GATHER_SECONDS:
+    if not has_never_run(first) or now - newest_arrival >= COALESCE_SECONDS:
         return False
-    return now - first.job.accepted_at < MOST_GATHER_SECONDS
+    return now - first.job.accepted_at < MAX_COALESCE_SECONDS
 
 
-def is_new(task: Task) -> bool:
-    """Tells whether a lasting task has never run."""
+def has_never_run(task: Task) -> bool:
+    """Returns whether a task is long-running and has never run."""
     return task.spec.lasting and not task.run and not task.last_ended_at
 
 
 def is_restart_overdue(task: Task, now: float) -> bool:
-    """Tells whether a lasting task has run and been away for too long."""
+    """Returns whether an interrupted long-running task is due to run again."""
     if not task.last_ended_at or not task.spec.lasting:
         return False
     return now - task.last_ended_at >= RESTART_OVERDUE_SECONDS
 
 
 def rank_task(task: Task, now: float) -> Rank:
-    """Returns a task's place in the order; the smallest goes first."""
+    """Returns the rank of a task; the smallest goes first."""
     job = task.job
     if task.spec.lasting:
-        # Bounded to a few a worker, a step takes a place on many. Its image is
-        # there already only if the others of that image come after it.
-        bound = task.spec.most_per_worker or math.inf
-        turn = Turn.AWAY if is_restart_overdue(task, now) else Turn.LASTING
-        return turn, (
+        # A step limited to a few tasks per worker is spread over many workers,
+        # so it is placed before other steps of its image, which then join it.
+        max_per_worker = task.spec.most_per_worker or math.inf
+        priority_class = (
+            PriorityClass.RESTART_OVERDUE
+            if is_restart_overdue(task, now)
+            else PriorityClass.LONG_RUNNING
+        )
+        return priority_class, (
             task.spec.image,
-            bound,
+            max_per_worker,
             -task.spec.demand.cores,
         )
-    outlook = find_outlook(task, now)
-    due = _get_start(task) + job.objective - job.critical_paths[task.id.step]
-    if is_urgent(task) and outlook is Outlook.IN_TIME:
-        return Turn.URGENT, (due,)
-    first = (job.spec.queue.priority, outlook)
+    timeliness = predict_timeliness(task, now)
+    latest_start = (
+        _get_release_time(task)
+        + job.objective
+        - job.critical_paths[task.id.step]
+    )
+    if is_urgent(task) and timeliness is Timeliness.IN_TIME:
+        return PriorityClass.URGENT, (latest_start,)
+    order = (job.spec.queue.priority, timeliness)
     if task.spec.fills:
-        return Turn.OTHER, (*first, not job.was_placed, measure_work(job))
-    return Turn.OTHER, (*first, False, due)
+        return PriorityClass.OTHER, (
+            *order,
+            not job.was_placed,
+            estimate_remaining_work(job),
+        )
+    return PriorityClass.OTHER, (*order, False, latest_start)
 
 
-def measure_work(job: Job) -> float:
-    """Returns the core-seconds of a job that are not done, as declared."""
+def estimate_remaining_work(job: Job) -> float:
+    """Returns the unfinished work of a job in core-seconds, as declared."""
     return sum(
         count
         * job.spec.steps[step].estimated_seconds
@@ -128,42 +141,42 @@
 
 
 def is_urgent(task: Task) -> bool:
-    """Tells whether a task reserves room, and only for a short time."""
+    """Returns whether a task is short and its queue has the top priority."""
     spec = task.spec
     is_short = not spec.lasting and not spec.fills and not spec.gang
     return is_short and task.job.spec.queue.priority <= URGENT_PRIORITY
 
 
-def _get_start(task: Task) -> float:
-    """Returns the monotonic time from which a task's occurrence is measured."""
+def _get_release_time(task: Task) -> float:
+    """Returns the monotonic time from which the objective of a task counts."""
     spec = task.job.spec
     if not spec.occurrences:
         return task.job.accepted_at
-    later = spec.get_due(task.id.occurrence) - spec.accepted
-    return task.job.accepted_at + max(0.0, later)
+    delay = spec.get_due(task.id.occurrence) - spec.accepted
+    return task.job.accepted_at + max(0.0, delay)
 
 
-def find_outlook(task: Task, now: float) -> Outlook:
-    """Tells how a task's job can still end if the task starts now."""
+def predict_timeliness(task: Task, now: float) -> Timeliness:
+    """Returns whether a task's job can be in time if the task starts now."""
     objective = task.job.objective
-    end = now + task.job.critical_paths[task.id.step] - _get_start(task)
+    end = now + task.job.critical_paths[task.id.step] - _get_release_time(task)
     if end <= objective:
-        return Outlook.IN_TIME
-    if end <= USEFUL_MULTIPLE * objective:
-        return Outlook.LATE
-    return Outlook.USELESS
+        return Timeliness.IN_TIME
+    if end <= MAX_USEFUL_MULTIPLE * objective:
+        return Timeliness.LATE
+    return Timeliness.TOO_LATE
 
 
 def sort_steps(tasks: Iterable[Task], now: float) -> list[list[Task]]:
-    """Groups tasks that are ready by step, the first to be placed first.
+    """Groups ready tasks by step, sorted by rank.
 
-    Tasks of a step are alike, so a step is ranked by its first task. Those
-    that have been away for too long are a group of their own.
+    Tasks of a step are identical, so a step is ranked by its first task. Those
+    that are overdue to restart form a group of their own.
     """
     steps: dict[tuple[object, ...], list[Task]] = {}
     for task in tasks:
         key: tuple[object, ...] = get_step_key(task)
         if is_restart_overdue(task, now):
-            key = (*key, Turn.AWAY)
+            key = (*key, PriorityClass.RESTART_OVERDUE)
         steps.setdefault(key, []).append(task)
     return sorted(steps.values(), key=lambda step: rank_task(step[0], now))
--- a/lentilmount/scheduling/reconciliation.py
+++ b/lentilmount/scheduling/reconciliation.py
@@ -1,4 +1,4 @@
-"""Bringing the book in line with what a worker lists."""
+"""Reconciliation of the cluster state with the reports of workers."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 )
 from lentilmount.scheduling.specs import TaskId
 
-IDLE_USAGE = 0.02
-"""Share of its demand below which a task counts as standing still."""
+IDLE_CPU_SHARE = 0.02
+"""Share of its allowed CPU usage below which a task counts as idle."""
 
 
 @attrs.frozen
 class StaleRun:
-    """A run that a worker lists and that should not be there."""
+    """A run that a worker reports and that must be stopped."""
 
     worker: str
     task: str
@@ -32,15 +32,17 @@
 
 @attrs.define
 class ReconcileResult:
-    """What a look at a worker changed.
+    """Changes made by one report of a worker.
 
     Attributes:
-      ended: Tasks that ended, and how.
-      adopted: Tasks found running that were not known to run there.
-      expired: Tasks whose start was not carried out and no longer can be.
+      ended: Tasks whose run ended, and how.
+      adopted: Running tasks that were not known to run on the worker.
+      expired: Tasks whose start was not carried out before its deadline.
       stale_runs: Runs to be stopped.
-      unknown_tasks: Jobs that this owner does not know.
-      last_end_number: The last end that may be forgotten once all is written.
+      unknown_tasks: Formatted ids of running tasks whose job is unknown to this
+        owner.
+      last_end_number: Number of the newest end in the report. Ends up to it may
+        be acknowledged once all changes are persisted.
     """
 
     ended: list[tuple[Task, EndKind]] = attrs.Factory(list)
@@ -52,31 +54,35 @@
 
 
 class Reconciler:
-    """Takes looks at workers into a book."""
+    """Applies reports of workers to the cluster state."""
 
     def __init__(self, cluster: ClusterState):
         self._cluster = cluster
 
     def reconcile(
-        self, worker: Worker, report: WorkerReport, asked_at: float, now: float
+        self,
+        worker: Worker,
+        report: WorkerReport,
+        requested_at: float,
+        now: float,
     ) -> ReconcileResult:
-        """Takes in what a worker says it runs.
+        """Applies a report of a worker to the cluster state.
 
         Args:
-          worker: Who answered.
-          report: The answer.
-          asked_at: Monotonic time at which the call was sent.
-          now: Monotonic time of the answer.
+          worker: Worker that sent the report.
+          report: The report.
+          requested_at: Monotonic time at which the report was requested.
+          now: Monotonic time at which it arrived.
         """
         result = ReconcileResult()
         listed: set[TaskId] = set()
         for end in report.ended:
-            self._take_end(worker, end, result, now)
-        for row in report.running:
-            task = self._take_running(worker, row, result, now)
+            self._apply_end(worker, end, result, now)
+        for run_report in report.running:
+            task = self._apply_running(worker, run_report, result, now)
             if task is not None:
                 listed.add(task.id)
-        for task in self._list_vanished(worker, listed, asked_at):
+        for task in self._list_missing_tasks(worker, listed, requested_at):
             if task.phase is TaskPhase.STARTING:
                 self._cluster.requeue(task)
                 result.expired.append(task)
@@ -88,23 +94,22 @@
         worker.change_count += 1
         return result
 
-    def _list_vanished(
-        self, worker: Worker, listed: set[TaskId], asked_at: float
+    def _list_missing_tasks(
+        self, worker: Worker, listed: set[TaskId], requested_at: float
     ) -> Iterator[Task]:
-        # A start may have been carried out after the list was made; only a
-        # list that was asked for after the start was confirmed proves that
-        # the run is gone.
-        # The same holds for a stop, which also prevents a start that has not
-        # reached the worker yet, and for the time by which a start must begin.
+        # A start may be carried out after the report was made. Only a report
+        # requested after the start was confirmed proves that the run is gone.
+        # The same applies to a stop, which also prevents a start that has not
+        # reached the worker yet, and to the deadline of a start.
         for task in list(worker.tasks.values()):
             if task.id in listed:
                 continue
-            known_at = {
+            settled_at = {
                 TaskPhase.STARTING: task.start_expired_at,
                 TaskPhase.RUNNING: task.confirmed_at,
                 TaskPhase.STOPPING: min(task.stopped_at, task.start_expired_at),
             }
-            if known_at.get(task.phase, math.inf) < asked_at:
+            if settled_at.get(task.phase, math.inf) < requested_at:
                 yield task
 
     def _find(self, name: str) -> Task | None:
@@ -114,7 +119,7 @@
         job = self._cluster.jobs.get(task_id.job)
         return job.tasks.get(task_id) if job is not None else None
 
-    def _take_end(
+    def _apply_end(
         self,
         worker: Worker,
         end: EndReport,
@@ -126,30 +131,32 @@
         if task is None:
             return
         self._cluster.mark_started(task.job)
-        here = task.worker == worker.id and task.run == end.run
-        if not here:
-            self._take_late_end(task, end, result, now)
+        is_current_run = task.worker == worker.id and task.run == end.run
+        if not is_current_run:
+            self._apply_unexpected_end(task, end, result, now)
             return
         if end.checkpoint:
             task.checkpoint = end.checkpoint
-        self._stop(self._cluster.end_run(task, end.kind, now), result)
+        self._add_stale_runs(self._cluster.end_run(task, end.kind, now), result)
         result.ended.append((task, end.kind))
 
-    def _stop(self, tasks: list[Task], result: ReconcileResult) -> None:
+    def _add_stale_runs(
+        self, tasks: list[Task], result: ReconcileResult
+    ) -> None:
         for task in tasks:
             result.stale_runs.append(
                 StaleRun(task.worker, str(task.id), task.run)
             )
 
-    def _take_late_end(
+    def _apply_unexpected_end(
         self, task: Task, end: EndReport, result: ReconcileResult, now: float
     ) -> None:
-        """Takes in an end that the book had not placed at that worker.
+        """Applies the end of a run that is not the current one on that worker.
 
-        It may be older than what the book knows: a worker lists it until it
-        is acknowledged, and is perhaps heard after the others.
+        The end may be older than the current state: a worker repeats it until
+        it is acknowledged, and reports of workers arrive in any order.
         """
-        self._supersede(task, end.run)
+        self._drop_older_placement(task, end.run)
         if task.phase is TaskPhase.WAITING and end.run > task.run:
             task.run = end.run
             if end.checkpoint:
@@ -162,53 +169,58 @@
             return
         is_new = end.run not in task.failed_runs
         if end.kind is EndKind.FAILED and is_new:
-            self._stop(self._cluster.record_failure(task, end.run, now), result)
+            self._add_stale_runs(
+                self._cluster.record_failure(task, end.run, now), result
+            )
             result.ended.append((task, end.kind))
         elif end.kind is EndKind.DONE and task.phase is TaskPhase.WAITING:
-            self._stop(self._cluster.complete(task, now), result)
+            self._add_stale_runs(self._cluster.complete_task(task, now), result)
             result.ended.append((task, end.kind))
 
-    def _take_running(
+    def _apply_running(
         self,
         worker: Worker,
-        row: RunReport,
+        run_report: RunReport,
         result: ReconcileResult,
         now: float,
     ) -> Task | None:
-        task = self._find(row.task)
+        task = self._find(run_report.task)
         if task is None:
-            result.unknown_tasks.append(row.task)
+            result.unknown_tasks.append(run_report.task)
             return None
         self._cluster.mark_started(task.job)
-        self._supersede(task, row.run)
-        idle = task.phase in (TaskPhase.WAITING, TaskPhase.GIVEN_UP)
-        if idle and row.run >= task.run:
-            self._adopt(task, worker, row, now)
+        self._drop_older_placement(task, run_report.run)
+        is_unplaced = task.phase in (TaskPhase.WAITING, TaskPhase.GIVEN_UP)
+        if is_unplaced and run_report.run >= task.run:
+            self._adopt(task, worker, run_report, now)
             result.adopted.append(task)
-        if task.worker != worker.id or task.run != row.run:
-            result.stale_runs.append(StaleRun(worker.id, row.task, row.run))
+        if task.worker != worker.id or task.run != run_report.run:
+            result.stale_runs.append(
+                StaleRun(worker.id, run_report.task, run_report.run)
+            )
             return None
         if task.confirmed_at == 0.0:
-            # Taken over from a row, and heard of for the first time.
+            # Restored from a state row and reported for the first time.
             task.confirmed_at = now
             result.adopted.append(task)
-        self._update(task, row, now)
+        self._update(task, run_report, now)
         return task
 
-    def _supersede(self, task: Task, run: int) -> None:
-        """Forgets an older placement of a task that has a newer run.
+    def _drop_older_placement(self, task: Task, run: int) -> None:
+        """Drops the placement of a task if a newer run of it is reported.
 
-        The previous owner starts a run only when the one before is surely
-        over, but its last rows may tell of the older one. Held on to, the
-        newer run would be stopped, or its end missed and the task run again.
+        The previous owner started a run only once the one before had certainly
+        ended, but its last rows may still contain the older one. With that
+        placement kept, the newer run would be stopped, or its end would be
+        missed and the task run again.
         """
         if task.phase.is_placed and run > task.run:
             self._cluster.requeue(task)
 
     def _adopt(
-        self, task: Task, worker: Worker, row: RunReport, now: float
+        self, task: Task, worker: Worker, run_report: RunReport, now: float
     ) -> None:
-        task.run = row.run
+        task.run = run_report.run
         task.phase = TaskPhase.RUNNING
         task.worker = worker.id
         task.placed_at = now
@@ -220,18 +232,18 @@
         if task.job.state.is_final:
             self._cluster.begin_stop(task)
 
-    def _update(self, task: Task, row: RunReport, now: float) -> None:
-        self._cluster.confirm_start(task, row.run, now)
-        if row.checkpoint:
-            task.checkpoint = row.checkpoint
-        task.usage = row.usage
-        if self._stands_still(task):
+    def _update(self, task: Task, run_report: RunReport, now: float) -> None:
+        self._cluster.confirm_start(task, run_report.run, now)
+        if run_report.checkpoint:
+            task.checkpoint = run_report.checkpoint
+        task.usage = run_report.usage
+        if self._is_idle(task):
             task.idle_since = min(task.idle_since, now)
         else:
             task.idle_since = math.inf
 
-    def _stands_still(self, task: Task) -> bool:
+    def _is_idle(self, task: Task) -> bool:
         if task.is_serving or task.usage is None or task.cpu_percent == 0:
             return False
         allowed = 1000 * task.spec.demand.cores * task.cpu_percent / 100
-        return task.usage < IDLE_USAGE * allowed
+        return task.usage < IDLE_CPU_SHARE * allowed
--- a/lentilmount/scheduling/reports.py
+++ b/lentilmount/scheduling/reports.py
@@ -1,4 +1,4 @@
-"""What workers say of themselves and of what they run."""
+"""Registrations of workers and their reports on running and ended tasks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself."""
+    """State that a worker registers for itself."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -18,18 +18,19 @@
 
 @attrs.frozen
 class WorkerEntry:
-    """A worker as it registered itself.
+    """Registration of a worker.
 
     Attributes:
-      id: Its id.
-      started_ms: Unix ms of the start of this incarnation.
+      id: Id of the worker.
+      started_ms: Unix time in ms at which this incarnation started.
       address: Host and port.
-      service: The pool it belongs to.
-      zone: Its availability zone.
-      state: Whether it takes work.
-      capacity: What it has.
-      labels: Its kind and its rack.
-      drain_seconds: Seconds it certainly stays while draining, or None.
+      service: Service whose pool the worker belongs to.
+      zone: Availability zone.
+      state: Whether the worker accepts new tasks.
+      capacity: Resources of the worker.
+      labels: Kind and rack of the worker.
+      drain_seconds: Minimum time in seconds that a draining worker remains, or
+        None.
     """
 
     id: str
@@ -45,13 +46,13 @@
 
 @attrs.frozen
 class RunReport:
-    """A run that a worker lists as running.
+    """A run that a worker reports as running.
 
     Attributes:
-      task: Name of the task.
-      run: Number of the run.
+      task: Formatted id of the task.
+      run: Run number.
       checkpoint: Newest checkpoint, or ''.
-      progress: Percent; a lasting task is at work at 100.
+      progress: Progress in percent. A long-running task is working at 100.
       usage: See `Task`.
     """
 
@@ -75,7 +76,7 @@
 
 @attrs.frozen
 class EndReport:
-    """A run that a worker lists as ended."""
+    """A run that a worker reports as ended."""
 
     number: int
     task: str
@@ -86,14 +87,14 @@
 
 @attrs.frozen
 class WorkerReport:
-    """What a worker says it runs.
+    """Answer of a worker to a poll: its running and ended runs.
 
     Attributes:
-      started_ms: Unix ms of the start of the incarnation that answered, or
+      started_ms: Unix time in ms at which the answering incarnation started, or
         None.
-      clock_ms: Its steady clock.
-      running: What runs there.
-      ended: Ends not yet acknowledged, the oldest first.
+      clock_ms: Monotonic clock of the worker in ms.
+      running: Runs in progress.
+      ended: Run ends that are not acknowledged yet, oldest first.
     """
 
     started_ms: int | None
--- a/lentilmount/scheduling/reservations.py
+++ b/lentilmount/scheduling/reservations.py
@@ -1,8 +1,8 @@
-"""Workers that take nothing more until a lasting task fits there.
+"""Reservations of workers for interrupted long-running tasks.
 
-Load pattern: short tasks come all the time and take each gap on every worker
-before it is large enough for a lasting task, though what is short there keeps
-more than enough room from it.
+Load pattern: short tasks arrive all the time and fill each gap on every worker
+before it is large enough for a long-running task, although the short tasks on
+one worker occupy more than enough resources for it.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 log = logbook.Logger('placing')
 
 RESERVATION_SECONDS = 2.0
-"""How long a worker is held for one task: short tasks have ended by then."""
+"""Duration of a reservation in seconds; short tasks have ended by then."""
 
 MAX_RESERVED_SHARE = 0.05
-"""Share of the workers that are held at once."""
+"""Maximum share of the workers that are reserved at once."""
 
 
 @attrs.frozen
-class _Hold:
-    """A worker held for a task.
+class _Reservation:
+    """Reservation of a worker for a task.
 
     Attributes:
-      worker: The worker, or '' where none would do.
-      until: Monotonic time until which the choice stands.
+      worker: Id of the worker, or '' if none is suitable.
+      until: Monotonic time until which the choice is valid.
     """
 
     worker: str
@@ -39,52 +39,62 @@
 
 @attrs.define
 class WorkerReservations:
-    """Knows which worker is held for which task, from pass to pass."""
+    """Workers that accept no other task until a given task fits there."""
 
-    _holds: dict[Task, _Hold] = attrs.Factory(dict)
+    _reservations: dict[Task, _Reservation] = attrs.Factory(dict)
 
     def expire(self, now: float) -> None:
-        """Ends the holds of tasks that wait no more, and those of long ago."""
-        self._holds = {
-            task: hold
-            for task, hold in self._holds.items()
-            if task.phase is TaskPhase.WAITING and now < hold.until
+        """Drops reservations that timed out or whose task no longer waits."""
+        self._reservations = {
+            task: reservation
+            for task, reservation in self._reservations.items()
+            if task.phase is TaskPhase.WAITING and now < reservation.until
         }
 
     def reserve(
         self, task: Task, views: list[WorkerView], now: float
     ) -> WorkerView | None:
-        """Returns the worker that is held for a task, chosen if need be.
+        """Returns the worker reserved for a task, choosing one if necessary.
 
         Args:
-          task: What no worker has room for now.
-          views: The workers that take new work and are not held.
+          task: A task that fits on no worker now.
+          views: Workers that accept new tasks and are not reserved.
           now: Monotonic time.
+
+        Returns:
+          The worker, or None if none is suitable or too many are reserved.
         """
-        hold = self._holds.get(task)
-        if hold is not None:
-            found = (v for v in views if v.worker.id == hold.worker)
+        reservation = self._reservations.get(task)
+        if reservation is not None:
+            found = (v for v in views if v.worker.id == reservation.worker)
             return next(found, None)
-        held = sum(hold.worker != '' for hold in self._holds.values())
-        if held >= math.ceil(MAX_RESERVED_SHARE * len(views)):
+        reserved_count = sum(
+            reservation.worker != ''
+            for reservation in self._reservations.values()
+        )
+        if reserved_count >= math.ceil(MAX_RESERVED_SHARE * len(views)):
             return None
-        chosen = _choose(task, views)
+        chosen = _choose_worker(task, views)
         name = chosen.worker.id if chosen is not None else ''
         if name:
             log.info(
                 'Holding a worker for a lost task.',
                 extra={'task': str(task.id), 'worker': name},
             )
-        self._holds[task] = _Hold(name, now + RESERVATION_SECONDS)
+        self._reservations[task] = _Reservation(name, now + RESERVATION_SECONDS)
         return chosen
 
 
-def _choose(task: Task, views: list[WorkerView]) -> WorkerView | None:
-    """Chooses the worker on which a task is likely to fit first."""
+def _choose_worker(task: Task, views: list[WorkerView]) -> WorkerView | None:
+    """Chooses the worker where a task is likely to fit first."""
     reserved = task.spec.reserved
-    able = [v for v in views if reserved.fits(v.soon) and v.accepts(task)]
-    chosen = max(able, key=lambda view: view.free.cores, default=None)
+    suitable = [
+        v
+        for v in views
+        if reserved.fits(v.free_after_short_tasks) and v.accepts(task)
+    ]
+    chosen = max(suitable, key=lambda view: view.free.cores, default=None)
     if chosen is not None and reserved.fits(chosen.free):
-        # It is not room that the task waits for.
+        # The task fits already, so it waits for something else.
         return None
     return chosen
--- a/lentilmount/scheduling/rows.py
+++ b/lentilmount/scheduling/rows.py
@@ -1,4 +1,7 @@
-"""The rows that outlive an owner: one with a job's tasks, one to count."""
+"""Encoding and restoring of the state row of a job.
+
+The row lets the next owner of the service continue with the job's tasks.
+"""
 
 from __future__ import annotations
 
@@ -6,25 +9,27 @@
 from typing import Any
 
 from lentilmount.resources import Room
-from lentilmount.scheduling.cluster import RUN_MARGIN, ClusterState
+from lentilmount.scheduling.cluster import RUN_NUMBER_MARGIN, ClusterState
 from lentilmount.scheduling.model import Job, JobState, Task, TaskPhase, Worker
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 from lentilmount.scheduling.specs import TaskId
 
 DONE = 'done'
-"""Where the ranges of tasks that are done stand among the tasks. Versions that
-do not know them cannot read such a name and give the service up: gone by, the
-tasks would be run again. In rows of those versions it is a task's entry."""
+"""Key of the ranges of done tasks among the task entries.
+
+Versions that do not support ranges fail to parse this key as a task and release
+the service; if they ignored it, they would run the tasks again. In rows of
+those versions, it is the entry of a done task."""
 
 
 def encode_state(job: Job) -> dict[str, Any]:
     """Builds the body of a job's state row.
 
-    Tasks that were never started are left out, and those of a finished job
-    too: nobody asks for them any more. Those that are done stand in ranges,
-    by step, and entries end where only what is usual follows: a row is written
-    again with each change of any task, and such rows were over a third of all
-    that an owner sends.
+    The row is written at each change of any task, and without the following
+    rules such rows were over a third of the bytes sent by an owner. Tasks that
+    were never started are omitted, and so are all tasks of a finished job that
+    has none to stop. Done tasks are stored as index ranges by step. Trailing
+    default values of a task's entry are omitted.
     """
     body: dict[str, Any] = {'state': job.state.value}
     if job.state.is_final and not _is_stopping(job):
@@ -34,17 +39,17 @@
     for task in job.tasks.values():
         if task.phase is TaskPhase.DONE:
             step = f'{task.id.occurrence}.{task.id.step}'
-            _extend(done.setdefault(step, []), task.id.index)
+            _append_to_ranges(done.setdefault(step, []), task.id.index)
         elif task.run:
-            tasks[_name(task)] = _encode_task(task)
+            tasks[_format_task_key(task)] = _encode_task(task)
     if done:
         tasks[DONE] = done
     body['tasks'] = tasks
     return body
 
 
-def _extend(ranges: list[int], index: int) -> None:
-    """Adds a number to ranges: the first and the last of each, in a row."""
+def _append_to_ranges(ranges: list[int], index: int) -> None:
+    """Appends an index to a flat list of ranges: first, last, first, last."""
     if ranges and ranges[-1] == index - 1:
         ranges[-1] = index
     else:
@@ -64,7 +69,7 @@
     return any(task.phase.is_placed for task in job.tasks.values())
 
 
-def _name(task: Task) -> str:
+def _format_task_key(task: Task) -> str:
     return f'{task.id.occurrence}.{task.id.step}.{task.id.index}'
 
 
@@ -72,24 +77,28 @@
     cluster: ClusterState,
     job: Job,
     body: dict[str, Any],
-    lapses_at: float,
+    leases_expire_at: float,
     now: float,
 ) -> None:
-    """Takes over what a job's state row says.
+    """Applies the state row of a job to the cluster state.
 
     Args:
-      cluster: Where the job is.
-      job: The job, as admitted.
-      body: The row's body.
-      lapses_at: Monotonic time by which leases that the previous owner gave
-        have run out on a worker that cannot be reached.
+      cluster: Cluster state that the job was added to.
+      job: The job.
+      body: Body of the row.
+      leases_expire_at: Monotonic time by which leases granted by the previous
+        owner have expired on a worker that cannot be reached.
       now: Monotonic time.
     """
     state = JobState(body['state'])
     entries = dict(body.get('tasks', {}))
-    done = [_parse(job, name) for name in _list_done(entries.pop(DONE, {}))]
-    others = {_parse(job, name): entry for name, entry in entries.items()}
-    _open_told(cluster, job, [*done, *others])
+    done = [
+        _parse_task_key(job, name) for name in _list_done(entries.pop(DONE, {}))
+    ]
+    others = {
+        _parse_task_key(job, name): entry for name, entry in entries.items()
+    }
+    _create_recorded_occurrences(cluster, job, [*done, *others])
     for task_id in done:
         task = job.tasks.get(task_id)
         if task is not None:
@@ -97,26 +106,30 @@
     for task_id, entry in others.items():
         task = job.tasks.get(task_id)
         if task is not None:
-            _restore_task(cluster, task, entry, lapses_at, now)
+            _restore_task(cluster, task, entry, leases_expire_at, now)
     if state.is_final:
         job.is_end_logged = True
         cluster.finish_job(job, state, now)
     else:
         job.state = state
-    has_begun = state is not JobState.QUEUED
-    job.has_started |= has_begun
-    job.was_placed |= has_begun
+    has_started = state is not JobState.QUEUED
+    job.has_started |= has_started
+    job.was_placed |= has_started
     cluster.dirty.pop(job.spec.id, None)
 
 
-def _open_told(cluster: ClusterState, job: Job, told: list[TaskId]) -> None:
-    """Creates the tasks of occurrences that the previous owner has begun.
+def _create_recorded_occurrences(
+    cluster: ClusterState, job: Job, recorded: list[TaskId]
+) -> None:
+    """Creates the tasks of occurrences that the previous owner had created.
 
-    By a slower clock they are not due yet. What the row says of them would be
-    dropped, and what is done would run again when they are.
+    They may not be due yet by a slower clock. Without this, their recorded
+    state would be dropped and done tasks would run again.
     """
-    last = max((task_id.occurrence for task_id in told), default=-1)
-    cluster.open_until(job, min(last + 1, max(1, job.spec.occurrences)))
+    last = max((task_id.occurrence for task_id in recorded), default=-1)
+    cluster.create_occurrences_until(
+        job, min(last + 1, max(1, job.spec.occurrences))
+    )
 
 
 def _list_done(done: dict[str, list[int]]) -> Iterator[str]:
@@ -126,13 +139,17 @@
                 yield f'{step}.{index}'
 
 
-def _parse(job: Job, name: str) -> TaskId:
+def _parse_task_key(job: Job, name: str) -> TaskId:
     occurrence, step, index = map(int, name.split('.'))
     return TaskId(job.spec.id, occurrence, step, index)
 
 
 def _restore_task(
-    cluster: ClusterState, task: Task, entry: Any, lapses_at: float, now: float
+    cluster: ClusterState,
+    task: Task,
+    entry: Any,
+    leases_expire_at: float,
+    now: float,
 ) -> None:
     if entry == DONE:
         cluster.restore_done(task, now)
@@ -144,18 +161,20 @@
     task.checkpoint = checkpoint
     task.job.has_started |= bool(failed_runs or checkpoint)
     task.run = run
-    task.skipped = RUN_MARGIN
+    task.skipped = RUN_NUMBER_MARGIN
     if worker:
-        known = cluster.workers.get(worker)
-        if known is None:
-            known = make_unregistered_worker(worker)
-            cluster.workers[worker] = known
-        if not known.has_answered:
-            known.leases_expire_at = max(known.leases_expire_at, lapses_at)
-        cluster.restore_placed(task, known)
+        placed_on = cluster.workers.get(worker)
+        if placed_on is None:
+            placed_on = make_unregistered_worker(worker)
+            cluster.workers[worker] = placed_on
+        if not placed_on.has_answered:
+            placed_on.leases_expire_at = max(
+                placed_on.leases_expire_at, leases_expire_at
+            )
+        cluster.restore_placed(task, placed_on)
 
 
 def make_unregistered_worker(worker: str) -> Worker:
-    """Builds a worker that only a row speaks of, to wait for its leases."""
+    """Creates a worker known only from a state row, until its leases expire."""
     entry = WorkerEntry(worker, 0, '', '', '', WorkerState.DRAINING, Room(), ())
     return Worker(entry, is_registered=False)
--- a/lentilmount/scheduling/specs.py
+++ b/lentilmount/scheduling/specs.py
@@ -1,4 +1,4 @@
-"""Jobs as clients hand them in, and the names of their tasks."""
+"""Specifications of jobs as accepted from clients, and identifiers of tasks."""
 
 from __future__ import annotations
 
@@ -11,26 +11,36 @@
 
 @attrs.frozen
 class StepSpec:
-    """One step of a job: tasks that are alike.
+    """One step of a job: a number of identical tasks.
+
+    The field names are part of the stored job row. `lasting` marks long-running
+    tasks, `fills` marks best-effort tasks.
 
     Attributes:
-      count: How many tasks.
-      demand: What one task takes; its cores are not reserved if it fills.
-      estimated_seconds: Declared duration of a task; rough.
-      after: Earlier steps whose tasks must all be done first.
-      checkpointing: Whether a stopped task can resume.
-      gang: Whether the tasks only work together.
-      same_rack: Whether a gang is slow on more than one rack.
+      count: Number of tasks.
+      demand: Resources requested by one task. The cores of a best-effort task
+        are not reserved.
+      estimated_seconds: Declared run time of a task, a rough estimate.
+      after: Indexes of earlier steps whose tasks must all be done first.
+      checkpointing: Whether a stopped task can resume from a checkpoint.
+      gang: Whether the tasks must run at the same time.
+      same_rack: Whether all tasks of a gang should run on one rack; they are
+        slow across racks.
       label: Label that the worker must have, or ''.
-      rack: Rack where the data is, or ''.
-      most_per_worker: Most tasks of one occurrence on a worker; 0 for any.
-      duplicates: Whether copies may run in parallel.
-      lasting: Whether the tasks run until the job is cancelled.
-      image: What the tasks run; tasks of an image behave alike.
-      target_ms: Bound on the tail of a serving task's answers; 0 for none.
-      fills: Whether the tasks use what the others leave of the processors.
-      may_miss: Tasks that may be away at once through our own orders, or
-        None where nothing was said.
+      rack: Rack that stores the input data, or ''.
+      most_per_worker: Maximum number of tasks of one occurrence on a worker; 0
+        means no limit.
+      duplicates: Whether copies of a task may run in parallel.
+      lasting: Whether the tasks are long-running: they run until the job is
+        cancelled.
+      image: Image that the tasks run. Tasks of one image are expected to behave
+        alike.
+      target_ms: Tail latency target of a serving task in milliseconds; 0 if it
+        is not a serving task.
+      fills: Whether the tasks are best-effort: they use processor time that
+        other tasks leave over.
+      may_miss: Number of tasks that the scheduler may interrupt at once, or
+        None if not specified.
     """
 
     count: int
@@ -52,9 +62,9 @@
 
     @functools.cached_property
     def reserved(self) -> Room:
-        """What a task takes of its worker's capacity."""
-        # Kept: every comparison of a task with a worker needs it, and made
-        # anew it took an eighth of the processor of an owner of 245 workers.
+        """Resources that a task reserves on its worker."""
+        # Cached because every comparison of a task with a worker needs it:
+        # computing it each time took 1/8 of an owner's CPU at 245 workers.
         if self.fills:
             return attrs.evolve(self.demand, cores=0.0)
         return self.demand
@@ -62,17 +72,16 @@
 
 @attrs.frozen
 class QueuePolicy:
-    """How a queue's jobs are treated, as configured at acceptance.
+    """Policy of a queue, as configured when the job was accepted.
 
     Attributes:
-      name: The queue.
-      service: The service whose workers run the tasks.
-      priority: 0 comes first.
-      max_attempts: Failed runs of a task after which the job has failed.
-      stretch: Allowed multiple of the longest chain of work.
-      target_seconds: Allowed time on top of that.
-      advised: Whether only the advice service knows the workers that may run
-        a step.
+      name: Name of the queue.
+      service: Service whose workers run the tasks.
+      priority: Priority of the queue; 0 is the highest.
+      max_attempts: Number of failed runs of a task after which the job fails.
+      stretch: Allowed completion time as a multiple of the critical path.
+      target_seconds: Allowed completion time on top of that.
+      advised: Whether the advice service decides which workers may run a step.
     """
 
     name: str
@@ -89,14 +98,14 @@
     """A job as accepted.
 
     Attributes:
-      id: Chosen by the client.
-      payload: What each task is given.
-      steps: Its steps.
-      queue: How it is treated.
-      accepted: Unix seconds at acceptance.
-      occurrences: How often the steps run; 0 for a job without times.
-      first: Unix seconds of the first occurrence.
-      interval: Seconds between occurrences.
+      id: Id chosen by the client.
+      payload: Payload passed to each task.
+      steps: Steps of the job.
+      queue: Policy of the queue that the job was submitted to.
+      accepted: Unix time of acceptance in seconds.
+      occurrences: How often the steps run; 0 for a job without a schedule.
+      first: Unix time of the first occurrence in seconds.
+      interval: Time between occurrences in seconds.
     """
 
     id: str
@@ -109,7 +118,7 @@
     interval: float = 0.0
 
     def get_due(self, occurrence: int) -> float:
-        """Returns the Unix second at which an occurrence may start."""
+        """Returns the Unix time in seconds at which an occurrence may start."""
         if not self.occurrences:
             return 0.0
         return self.first + occurrence * self.interval
@@ -117,7 +126,7 @@
 
 @attrs.frozen(order=True)
 class TaskId:
-    """Names a task: job, occurrence, step and index."""
+    """Identifies a task by job, occurrence, step and index."""
 
     job: str
     occurrence: int
@@ -125,12 +134,12 @@
     index: int
 
     def __str__(self) -> str:
-        """Formats the name as workers know it."""
+        """Formats the id in the form used by workers."""
         return f'{self.job}.{self.occurrence}.{self.step}.{self.index}'
 
     @classmethod
     def parse(cls, text: str) -> TaskId | None:
-        """Reads a name; None if it is none of ours."""
+        """Parses a formatted id. Returns None if the text is not a task id."""
         parts = text.split('.')
         if len(parts) != 4 or not all(p.isdigit() for p in parts[1:]):
             return None
--- a/lentilmount/scheduling/takeover.py
+++ b/lentilmount/scheduling/takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner may start of what it has inherited."""
+"""Safe takeover of a service: inherited leases and unrecorded starts."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 
 @attrs.define
 class UnrecordedStarts:
-    """Doubt about tasks that the previous owner may have started unwritten.
+    """Starts by the previous owner that the state rows may not contain.
 
-    In an outage for all daemons an owner goes on starting tasks that it
-    cannot write down. If it is lost before its first write after the outage,
-    the rows say of such a task that it waits, while it runs on a worker that
-    the new owner cannot reach, as in a zone cut that follows; it would run
-    twice. So where the new owner has not seen a write since the store was
-    away, inherited tasks wait until all workers were heard or their leases
-    have surely run out. Ordinary takeovers are not held up: renewals were
-    seen until the end.
+    While no daemon reaches the table service, an owner continues to start tasks
+    that it cannot record. If it is lost before its first write after the
+    outage, the rows show such a task as waiting while it runs on a worker that
+    the new owner may be unable to reach, for example during a partition between
+    zones. Starting it again would run it twice.
+
+    So unless the new owner has observed a write since the outage, inherited
+    tasks wait until all workers have answered or their leases have certainly
+    expired. Ordinary takeovers are not delayed, because renewals were observed
+    until the end.
 
     Attributes:
       cluster: Jobs and workers.
-      are_all_recorded: Whether the rows surely tell of all starts.
-      expires_at: Monotonic time by which the previous owner's leases have run
-        out.
-      jobs: Ids of the jobs that were inherited.
+      are_all_recorded: Whether the rows certainly contain all starts.
+      expires_at: Monotonic time by which the previous owner's leases have
+        expired.
+      jobs: Ids of the inherited jobs.
     """
 
     cluster: ClusterState
@@ -37,7 +39,7 @@
     jobs: frozenset[str]
 
     def may_exist(self, now: float) -> bool:
-        """Tells whether some worker may run what nobody has written."""
+        """Returns whether a worker may be running a task without a record."""
         if self.are_all_recorded or now > self.expires_at:
             return False
         return any(
@@ -45,28 +47,31 @@
         )
 
     def get_remaining_seconds(self, now: float) -> float | None:
-        """Returns for how many seconds a doubt lasts at most, or None.
+        """Returns the maximum time in seconds for which such runs may continue.
+
+        It is recorded for the next owner, which cannot derive it from the rows.
 
-        An owner in doubt tells it to the next one, whose rows say no more.
+        Returns:
+          The time, or None if there can be no such runs.
         """
         return self.expires_at - now if self.may_exist(now) else None
 
     def affects(self, task: Task) -> bool:
-        """Tells whether a task is one that a doubt is about."""
+        """Returns whether a task may have been started without a record."""
         return task.id.job in self.jobs
 
 
 @attrs.frozen
 class InheritedLeases:
-    """What the previous owner told of leases on workers.
+    """Worker leases as recorded by the previous owner.
 
     Attributes:
-      remaining: Seconds for which they may still run, by the worker's id.
-      at: Monotonic time from which these seconds count at the latest.
-      are_still_published: Whether the row still tells it, so that none of them
-        may be renewed yet.
-      unrecorded_seconds: Seconds for which tasks may still run that no row
-        tells of, or None where that is not known; counted in the same way.
+      remaining: Seconds for which leases may still be valid, by worker id.
+      at: Latest monotonic time from which these seconds count.
+      are_still_published: Whether the lease row still contains them. None of
+        them may be renewed until it is rewritten.
+      unrecorded_seconds: Seconds for which unrecorded starts may still run,
+        counted in the same way, or None if not known.
     """
 
     remaining: Mapping[str, float] = attrs.Factory(dict)
@@ -75,38 +80,41 @@
     unrecorded_seconds: float | None = None
 
     def list_remaining(self, drift: float, now: float) -> dict[str, float]:
-        """Returns the seconds that are left now, by the worker's id.
+        """Returns the remaining seconds of leases by worker id.
 
         Args:
-          drift: Share by which two clocks differ in rate at most.
+          drift: Maximum relative difference in rate between two clocks.
           now: Monotonic time.
         """
         return {
-            name: self._count_down(seconds, drift, now)
+            name: self._subtract_elapsed(seconds, drift, now)
             for name, seconds in self.remaining.items()
         }
 
     def get_unrecorded_seconds(self, drift: float, now: float) -> float | None:
-        """Returns the seconds of doubt that are left now, or None."""
+        """Returns how many seconds unrecorded starts may still run, or None."""
         if self.unrecorded_seconds is None:
             return None
-        return self._count_down(self.unrecorded_seconds, drift, now)
+        return self._subtract_elapsed(self.unrecorded_seconds, drift, now)
 
-    def _count_down(self, seconds: float, drift: float, now: float) -> float:
+    def _subtract_elapsed(
+        self, seconds: float, drift: float, now: float
+    ) -> float:
         return max(0.0, seconds * (1 + drift) - (now - self.at))
 
 
 def list_lease_seconds(cluster: ClusterState, now: float) -> dict[str, float]:
-    """Lists for how long leases may still run on workers.
+    """Returns for how many seconds leases may still be valid on each worker.
 
-    Told to the next owner with the release of the service. Without it each
-    new owner would wait for the longest lease anew, and where owners change
-    faster than that, what a gone worker ran would never be started again. All
-    workers are told, as one may be gone and not have been missed yet; calls on
-    their way are covered, since a lease counts from before it is sent.
+    This is recorded for the next owner when the service is released. Otherwise
+    each new owner would wait for the maximum lease time, and if owners change
+    faster than that, the tasks of a lost worker would never be started again.
+    All workers are included, because the loss of one may not have been noticed
+    yet. Calls in transit are covered, because a lease counts from before it is
+    sent.
 
     Returns:
-      Seconds by the worker's id; nothing of workers whose leases are unknown.
+      Seconds by worker id, without workers whose leases are not known.
     """
     return {
         worker.id: max(0.0, worker.leases_expire_at - now)
@@ -118,11 +126,11 @@
 def list_unreachable_lease_seconds(
     cluster: ClusterState, now: float
 ) -> dict[str, float]:
-    """Lists for how long leases may still run on workers that do not answer.
+    """Returns for how many seconds leases may be valid on unreachable workers.
 
-    Told with each write of the lease, since an owner that is killed writes no
-    release: where owners are killed faster than leases run out, each would
-    wait for them anew.
+    This is recorded with each write of the service's lease, because a killed
+    owner does not release the service. Otherwise, if owners are killed faster
+    than leases expire, each new one would wait for the full lease time again.
 
     Returns:
       See `list_lease_seconds`.
@@ -135,9 +143,9 @@
 
 
 def is_unreachable(worker: Worker) -> bool:
-    """Tells whether a worker does not answer, as far as owners know."""
-    is_missed = worker.has_missed_poll or worker.is_reported_unreachable
-    return is_missed and not worker.reachable
+    """Returns whether a worker is unreachable, as observed or as recorded."""
+    has_failed_poll = worker.has_missed_poll or worker.is_reported_unreachable
+    return has_failed_poll and not worker.reachable
 
 
 def apply_lease_seconds(
@@ -146,12 +154,12 @@
     drift: float,
     now: float,
 ) -> None:
-    """Takes over what `list_lease_seconds` told at the release.
+    """Applies the lease times that the previous owner recorded on release.
 
     Args:
-      cluster: The book as restored, before any worker was asked.
-      remaining: What the previous owner has told.
-      drift: Share by which two clocks differ in rate at most.
+      cluster: Restored cluster state, before any worker was polled.
+      remaining: Seconds by worker id, from `list_lease_seconds`.
+      drift: Maximum relative difference in rate between two clocks.
       now: Monotonic time.
     """
     for worker_id, seconds in remaining.items():
--- a/lentilmount/scheduling/throttling.py
+++ b/lentilmount/scheduling/throttling.py
@@ -1,8 +1,9 @@
-"""Slowing down what fills beside what serves.
+"""Throttling of best-effort tasks on workers that run serving tasks.
 
-Load pattern: a serving task nears its target because its load swings up or a
-neighbour turns busy. Only the neighbours that interfere are slowed, as far as
-needed, and get their time back when the load falls.
+Load pattern: a serving task comes close to its latency target because its load
+increases or a neighbour enters a busy phase. Only the neighbours that interfere
+are throttled, as far as necessary, and regain their CPU share when the load
+falls.
 """
 
 from __future__ import annotations
@@ -12,117 +13,137 @@
 import attrs
 
 from lentilmount.scheduling.interference import (
-    LEAST_INTERFERENCE,
+    MIN_INTERFERENCE,
     TARGET_UTILISATION,
     InterferenceModel,
-    count_paced,
+    count_by_cpu_share,
     measure_utilisation,
 )
 from lentilmount.scheduling.model import Task, Worker, measure_intensity
 
-PACE_ABOVE = TARGET_UTILISATION - 0.03
-PACE_TO = TARGET_UTILISATION - 0.1
-RAISE_BELOW = TARGET_UTILISATION - 0.12
-"""Utilisations from which neighbours are slowed down, to which, and up to
-which they get more again; the gap keeps the two from alternating."""
+THROTTLE_ABOVE = TARGET_UTILISATION - 0.03
+THROTTLE_TARGET = TARGET_UTILISATION - 0.1
+RELAX_BELOW = TARGET_UTILISATION - 0.12
+"""Utilisation above which neighbours are throttled, the utilisation to reach,
+and the one below which they regain CPU share. The gap prevents oscillation."""
 
-PACE_AHEAD_SECONDS = 0.7
-"""How far ahead slowing down is judged: a look and the order take as long."""
+THROTTLE_HORIZON_SECONDS = 0.7
+"""Prediction horizon for throttling in seconds: a poll and the command take as
+long."""
 
-RAISE_STEP = 50
-"""Percent that a slowed task gets back at once."""
+RELAX_STEP_PERCENT = 50
+"""CPU share in percent that a throttled task regains at once."""
 
 SUSPEND_AFTER_SECONDS = 1.5
-"""Time over target after which everything that fills beside stops working,
-whatever the model says. Half of the shortest allowed time (4 s) less the age
-of a figure (0.5 s) and one look (0.5 s)."""
+"""Time over target after which all best-effort tasks on the worker are
+suspended, whatever the model predicts. It is half of the shortest allowed time
+(4 s) minus the age of a measurement (0.5 s) and one poll interval (0.5 s)."""
 
 
 @attrs.define
 class Throttler:
-    """Decides the pace of filling tasks."""
+    """Decides the CPU share of best-effort tasks."""
 
     _interference_model: InterferenceModel
 
     def plan(self, worker: Worker, now: float) -> dict[Task, int]:
-        """Decides which filling tasks get how many percent from now on."""
-        wanted = {
+        """Returns the changed CPU shares in percent by best-effort task."""
+        planned = {
             task: task.cpu_percent
             for task in worker.tasks.values()
             if task.spec.fills
         }
-        if not wanted:
+        if not planned:
             return {}
-        served = [
+        serving_task = [
             task
             for task in worker.tasks.values()
             if task.is_serving and task.usage is not None
         ]
         if any(
-            self._interference_model.get_seconds_over(task, now)
+            self._interference_model.get_seconds_over_target(task, now)
             >= SUSPEND_AFTER_SECONDS
-            for task in served
+            for task in serving_task
         ):
-            return {fill: 0 for fill in wanted if fill.cpu_percent}
-        calm = True
-        for task in served:
-            excess = self._measure_now(task, wanted)
-            if excess > PACE_ABOVE:
-                calm = False
-                self._slow_down(task, excess - PACE_TO, wanted)
-        if calm:
-            self._speed_up(served, wanted)
-        return {t: p for t, p in wanted.items() if p != t.cpu_percent}
-
-    def _measure_now(self, task: Task, wanted: dict[Task, int]) -> float:
-        """Returns the utilisation to expect if nothing is changed.
-
-        The figure is of the past half second; what was slowed down meanwhile
-        shows in the prediction only, so the lower of the two counts now.
+            return {
+                neighbour: 0 for neighbour in planned if neighbour.cpu_percent
+            }
+        has_no_excess = True
+        for task in serving_task:
+            excess = self._predict_utilisation(task, planned)
+            if excess > THROTTLE_ABOVE:
+                has_no_excess = False
+                self._throttle_neighbours(
+                    task, excess - THROTTLE_TARGET, planned
+                )
+        if has_no_excess:
+            self._relax_one(serving_task, planned)
+        return {t: p for t, p in planned.items() if p != t.cpu_percent}
+
+    def _predict_utilisation(
+        self, task: Task, planned: dict[Task, int]
+    ) -> float:
+        """Returns the expected utilisation of a task without further changes.
+
+        The measurement covers the past half second. Throttling since then shows
+        only in the prediction, so the lower of the two counts as the current
+        value.
         """
         ratio = (task.usage or 0.0) / task.spec.target_ms
-        beside = count_paced(wanted)
+        neighbours = count_by_cpu_share(planned)
         predicted = self._interference_model.predict(
-            task, beside, PACE_AHEAD_SECONDS
+            task, neighbours, THROTTLE_HORIZON_SECONDS
         )
         now = min(
             measure_utilisation(ratio),
-            self._interference_model.predict(task, beside),
+            self._interference_model.predict(task, neighbours),
         )
         return max(now, predicted)
 
-    def _slow_down(
-        self, served: Task, excess: float, wanted: dict[Task, int]
+    def _throttle_neighbours(
+        self, serving_task: Task, excess: float, planned: dict[Task, int]
     ) -> None:
-        """Slows the worst neighbours until the excess is gone."""
+        """Throttles the most interfering neighbours to remove the excess."""
         worst = sorted(
-            wanted, key=lambda t: -self._measure_interference_now(served, t)
+            planned,
+            key=lambda t: -self._get_current_interference(serving_task, t),
         )
-        for fill in worst:
-            interference = self._measure_interference_now(served, fill)
-            if excess <= 0 or interference < LEAST_INTERFERENCE:
+        for neighbour in worst:
+            interference = self._get_current_interference(
+                serving_task, neighbour
+            )
+            if excess <= 0 or interference < MIN_INTERFERENCE:
                 return
-            cut = min(wanted[fill], math.ceil(100 * excess / interference))
-            wanted[fill] -= cut
+            cut = min(
+                planned[neighbour], math.ceil(100 * excess / interference)
+            )
+            planned[neighbour] -= cut
             excess -= interference * cut / 100
 
-    def _measure_interference_now(self, served: Task, fill: Task) -> float:
+    def _get_current_interference(
+        self, serving_task: Task, neighbour: Task
+    ) -> float:
         interference = self._interference_model.get_interference(
-            served, fill.spec.image
+            serving_task, neighbour.spec.image
         )
-        return interference * measure_intensity(fill)
-
-    def _speed_up(self, served: list[Task], wanted: dict[Task, int]) -> None:
-        """Gives one slowed neighbour more, if every tail allows it."""
-        slowed = [t for t, percent in wanted.items() if percent < 100]
-        for fill in sorted(slowed, key=lambda t: t.job.accepted_at):
-            more = min(100, wanted[fill] + RAISE_STEP)
-            beside = count_paced({**wanted, fill: more})
+        return interference * measure_intensity(neighbour)
+
+    def _relax_one(
+        self, serving_task: list[Task], planned: dict[Task, int]
+    ) -> None:
+        """Raises one throttled neighbour if every serving task allows it."""
+        throttled = [t for t, percent in planned.items() if percent < 100]
+        for neighbour in sorted(throttled, key=lambda t: t.job.accepted_at):
+            raised = min(100, planned[neighbour] + RELAX_STEP_PERCENT)
+            neighbours = count_by_cpu_share({**planned, neighbour: raised})
             if all(
-                self._interference_model.get_interference(task, fill.spec.image)
-                < LEAST_INTERFERENCE
-                or self._interference_model.predict(task, beside) < RAISE_BELOW
-                for task in served
+                self._interference_model.get_interference(
+                    task, neighbour.spec.image
+                )
+                < MIN_INTERFERENCE
+                or self._interference_model.predict(task, neighbours)
+                < RELAX_BELOW
+                for task in serving_task
             ):
-                wanted[fill] = more
+                planned[neighbour] = raised
                 return
--- a/lentilmount/scheduling/views.py
+++ b/lentilmount/scheduling/views.py
@@ -1,9 +1,9 @@
-"""What passes over the queue need to know of each worker, worked out once.
+"""Cached summaries of workers for the passes over the queue.
 
-Load pattern: hundreds of tasks wait while a hundred starts and ends a second
-call for a pass each. Worked out anew for each waiting task, or for each of 50
-passes a second, the sums over workers' tasks take most of an owner's
-processor.
+Load pattern: hundreds of tasks wait, while a hundred starts and run ends per
+second each trigger a pass. Recomputing the sums over the tasks of a worker for
+each waiting task, or in each of 50 passes per second, would take most of an
+owner's CPU time.
 """
 
 from __future__ import annotations
@@ -23,86 +23,89 @@
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 
 SERVING_CPU_SHARE = 0.6
-"""Share of its cores that a serving task is taken to use: its mean, and a part
-of what its load swings up."""
+"""Share of its cores that a serving task is assumed to use: its mean plus part
+of the usual load increase."""
 
 
 REFRESH_SECONDS = 0.1
-"""For how long what was worked out for a worker holds while nothing changes
-there. What is learned of images at other workers changes the loads to expect;
-the figures that it comes from cover half a second."""
+"""How long a summary is valid while the worker does not change. New
+measurements of an image on other workers also change the expected utilisation;
+each measurement covers half a second."""
 
 
 @attrs.define(eq=False)
 class WorkerView:
-    """A worker as passes see it.
+    """Summary of a worker for placement.
 
     Attributes:
       worker: The worker.
-      free: What is not reserved.
-      soon: What is not reserved once what is short there has ended.
-      spare_cores: Cores that are left to filling tasks.
-      best_effort_cores: Cores that the filling tasks there ask for.
-      is_over: Whether a serving task there is over its target.
-      utilisation: For each serving image, the highest utilisation to expect.
-      same_step: Tasks by job, occurrence and step.
+      free: Unreserved resources.
+      free_after_short_tasks: Unreserved resources once all short tasks there
+        have ended.
+      spare_cores: Cores available to best-effort tasks.
+      best_effort_cores: Cores requested by the best-effort tasks there.
+      is_over_target: Whether a serving task there exceeds its latency target.
+      utilisation: Highest expected utilisation by serving image.
+      step_counts: Number of tasks by job, occurrence and step.
     """
 
     worker: Worker
     free: Room = attrs.Factory(Room)
-    soon: Room = attrs.Factory(Room)
+    free_after_short_tasks: Room = attrs.Factory(Room)
     spare_cores: float = 0.0
     best_effort_cores: float = 0.0
-    is_over: bool = False
+    is_over_target: bool = False
     utilisation: dict[str, float] = attrs.Factory(dict)
-    same_step: collections.Counter[tuple[str, int, int]] = attrs.Factory(
+    step_counts: collections.Counter[tuple[str, int, int]] = attrs.Factory(
         collections.Counter
     )
     _entry: WorkerEntry | None = None
-    _changes: int = -1
+    _change_count: int = -1
 
     @property
     def is_serving(self) -> bool:
-        """Whether some task there serves."""
+        """Whether a serving task runs there."""
         return bool(self.utilisation)
 
     @property
     def is_outdated(self) -> bool:
-        """Whether something has changed at the worker itself."""
+        """Whether the worker has changed since the last refresh."""
         worker = self.worker
         return (
-            self._changes != worker.change_count
+            self._change_count != worker.change_count
             or self._entry is not worker.entry
         )
 
     def refresh(self, interference_model: InterferenceModel) -> None:
-        """Works everything out from the worker's tasks."""
-        self._changes = self.worker.change_count
+        """Recomputes the summary from the worker's tasks."""
+        self._change_count = self.worker.change_count
         self._entry = self.worker.entry
-        self.is_over = any(
-            map(interference_model.is_over, self.worker.tasks.values())
+        self.is_over_target = any(
+            map(interference_model.is_over_target, self.worker.tasks.values())
         )
         worker = self.worker
         self.free = worker.entry.capacity.subtract(worker.used)
-        self.soon = worker.entry.capacity
+        self.free_after_short_tasks = worker.entry.capacity
         self.spare_cores = worker.entry.capacity.cores
         self.best_effort_cores = 0.0
         self.utilisation = {}
-        self.same_step.clear()
-        beside = count_best_effort(worker)
+        self.step_counts.clear()
+        neighbours = count_best_effort(worker)
         for task in worker.tasks.values():
-            self.same_step[get_step_key(task)] += 1
-            self._add(task, beside, interference_model)
+            self.step_counts[get_step_key(task)] += 1
+            self._add_task(task, neighbours, interference_model)
 
-    def _add(
+    def _add_task(
         self,
         task: Task,
-        beside: dict[str, float],
+        neighbours: dict[str, float],
         interference_model: InterferenceModel,
     ) -> None:
         cores = task.spec.demand.cores
         if task.spec.lasting and task.phase is not TaskPhase.STOPPING:
-            self.soon = self.soon.subtract(task.spec.reserved)
+            self.free_after_short_tasks = self.free_after_short_tasks.subtract(
+                task.spec.reserved
+            )
         if task.spec.fills:
             self.best_effort_cores += cores * task.cpu_percent / 100
             return
@@ -111,51 +114,53 @@
         )
         if task.is_serving:
             image = task.spec.image
-            expected = interference_model.predict_place(task, beside)
-            known = self.utilisation.get(image, 0.0)
-            self.utilisation[image] = max(known, expected)
+            expected = interference_model.predict_for_placement(
+                task, neighbours
+            )
+            previous = self.utilisation.get(image, 0.0)
+            self.utilisation[image] = max(previous, expected)
 
     def can_start(self, task: Task) -> bool:
-        """Tells whether a task may run beside what is there."""
+        """Returns whether a task can be started there now."""
         return task.spec.reserved.fits(self.free) and self.accepts(task)
 
     def accepts(self, task: Task) -> bool:
-        """Tells whether a task may run here once there is room for it."""
+        """Returns whether a task may run there, apart from free resources."""
         spec = task.spec
         if spec.label and spec.label not in self.worker.entry.labels:
             return False
         if self.worker.on_probation and self.worker.is_being_tested:
             return False
         most = spec.most_per_worker
-        return not most or self.same_step[get_step_key(task)] < most
+        return not most or self.step_counts[get_step_key(task)] < most
 
-    def measure_crowding(self, task: Task) -> float:
-        """Returns the share of a filling task's cores that it would lack."""
-        wanted = self.best_effort_cores + task.spec.demand.cores
-        if wanted <= 0:
+    def measure_cpu_shortage(self, task: Task) -> float:
+        """Returns the share of its cores that a best-effort task would lack."""
+        requested = self.best_effort_cores + task.spec.demand.cores
+        if requested <= 0:
             return 0.0
-        return min(1.0, max(0.0, 1 - self.spare_cores / wanted))
+        return min(1.0, max(0.0, 1 - self.spare_cores / requested))
 
 
 @attrs.define(eq=False)
-class Views:
-    """The views of all workers, kept from pass to pass.
+class WorkerViews:
+    """Summaries of all workers, kept between passes.
 
     Attributes:
-      cluster: Where the workers are.
-      interference_model: What was learned of images.
+      cluster: Cluster state that contains the workers.
+      interference_model: Learned interference between images.
     """
 
     cluster: ClusterState
     interference_model: InterferenceModel
     _views: dict[str, WorkerView] = attrs.Factory(dict)
-    _renewed_at: float = -math.inf
+    _refreshed_at: float = -math.inf
 
     def list_open(self, now: float) -> list[WorkerView]:
-        """Lists the workers that take new work, up to date."""
-        is_due = now - self._renewed_at >= REFRESH_SECONDS
+        """Lists up-to-date views of the workers that accept new tasks."""
+        is_due = now - self._refreshed_at >= REFRESH_SECONDS
         if is_due:
-            self._renewed_at = now
+            self._refreshed_at = now
             workers = self.cluster.workers
             gone = [name for name in self._views if name not in workers]
             for name in gone:
@@ -174,7 +179,7 @@
 
 
 def is_open(worker: Worker, now: float) -> bool:
-    """Tells whether a worker takes new work at all."""
+    """Returns whether a worker accepts new tasks at all."""
     return (
         worker.is_registered
         and worker.reachable
@@ -187,5 +192,5 @@
 
 
 def get_step_key(task: Task) -> tuple[str, int, int]:
-    """Returns the step and occurrence of a task."""
+    """Returns the key of a task's step: job, occurrence and step index."""
     return task.id.job, task.id.occurrence, task.id.step
--- a/tests/scheduling_fixtures.py
+++ b/tests/scheduling_fixtures.py
@@ -116,7 +116,9 @@
     new = ClusterState()
     for job in cluster.jobs.values():
         restored = admit(new, job.spec)
-        restore_state(new, restored, encode_state(job), lapses_at=20.0, now=4.0)
+        restore_state(
+            new, restored, encode_state(job), leases_expire_at=20.0, now=4.0
+        )
     return new
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -364,7 +364,7 @@
         'state': 'running',
         'tasks': {'0.0.0': 'done', '0.0.1': [3, 'w', [2], 'saved']},
     }
-    restore_state(cluster, job, body, lapses_at=20.0, now=4.0)
+    restore_state(cluster, job, body, leases_expire_at=20.0, now=4.0)
     first, second = (find_task(cluster, 'a', 0, index) for index in range(2))
     assert first.phase is TaskPhase.DONE
     assert (second.run, second.worker, second.failed_runs) == (3, 'w', {2})
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -5,7 +5,7 @@
 from lentilmount.resources import Room
 from lentilmount.scheduling.cluster import ClusterState
 from lentilmount.scheduling.headroom import (
-    AVERAGE_SECONDS,
+    AVERAGING_SECONDS,
     MAX_HEADROOM_WAIT_SECONDS,
 )
 from lentilmount.scheduling.interference import InterferenceModel
@@ -67,7 +67,7 @@
     run_task(cluster, lasting, worker)
     # Urgent work keeps the two cores beside it busy.
     now = 0.0
-    while now < 3 * AVERAGE_SECONDS:
+    while now < 3 * AVERAGING_SECONDS:
         job = admit(
             cluster, make_job(f'urgent-{now:.1f}', URGENT, policy=policy)
         )
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -163,9 +163,9 @@
     """An error of a load was taken for interference, and the other way."""
     known = KalmanFilter(_PRIORS)
     for step in range(20):
-        known.age(0.5 * step)
-        known.correct({'load:a': 1.0}, 0.6)
-        known.correct({'load:a': 1.0, 'heavy': 1.0}, 0.7)
+        known.advance_time(0.5 * step)
+        known.update({'load:a': 1.0}, 0.6)
+        known.update({'load:a': 1.0, 'heavy': 1.0}, 0.7)
     assert known.get_mean('load:a') == pytest.approx(0.6, abs=0.02)
     assert known.get_mean('heavy') == pytest.approx(0.1, abs=0.02)
 
@@ -188,19 +188,19 @@
 ) -> None:
     known = KalmanFilter(_PRIORS)
     for step, (measured, beside) in enumerate(measures):
-        known.age(float(step))
-        known.correct({'load:x': 1.0, **beside}, measured)
-    assert all(variance > -1e-9 for _, _, variance in known.list_known())
+        known.advance_time(float(step))
+        known.update({'load:x': 1.0, **beside}, measured)
+    assert all(variance > -1e-9 for _, _, variance in known.list_terms())
 
 
 def test_a_term_that_was_removed_leaves_the_others() -> None:
     known = KalmanFilter(_PRIORS)
-    known.correct({'load:a': 1.0, 'x': 1.0}, 0.7)
-    known.correct({'load:b': 1.0, 'x': 1.0}, 0.4)
+    known.update({'load:a': 1.0, 'x': 1.0}, 0.7)
+    known.update({'load:b': 1.0, 'x': 1.0}, 0.4)
     before = known.get_mean('load:b'), known.get_mean('x')
     known.remove('load:a')
     assert (known.get_mean('load:b'), known.get_mean('x')) == before
-    known.correct({'load:b': 1.0, 'x': 2.0}, 0.5)
+    known.update({'load:b': 1.0, 'x': 2.0}, 0.5)
 
 
 def test_a_quiet_spell_interferes_less() -> None:
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -16,7 +16,7 @@
     RESERVATION_SECONDS,
     WorkerReservations,
 )
-from lentilmount.scheduling.views import Views, WorkerView
+from lentilmount.scheduling.views import WorkerView, WorkerViews
 from tests.scheduling_fixtures import (
     add_worker,
     admit,
@@ -56,7 +56,7 @@
 
 def list_views(cluster: ClusterState) -> list[WorkerView]:
     """Lists the workers that take work."""
-    return Views(cluster, InterferenceModel()).list_open(AWAY_AT)
+    return WorkerViews(cluster, InterferenceModel()).list_open(AWAY_AT)
 
 
 def test_a_held_worker_takes_nothing_else() -> None:
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -414,7 +414,7 @@
                 placed = [task.worker] if task.phase.is_placed else []
                 assert holders == placed
                 waits = task.phase is TaskPhase.WAITING
-                released = self.cluster.is_released(task)
+                released = self.cluster.are_predecessors_done(task)
                 assert (task.id in self.cluster.ready) == (waits and released)
 
 
