--- a/tests/scheduling_fixtures.py
+++ b/tests/scheduling_fixtures.py
@@ -1,4 +1,4 @@
-"""Jobs and workers for tests of decisions."""
+"""Builders of jobs, workers and worker reports for tests of the scheduling."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def make_policy(**fields: Any) -> QueuePolicy:
-    """Returns a queue's policy."""
+    """Returns the policy of a queue."""
     given = {'max_attempts': 2, 'stretch': 2.0, 'target_seconds': 1.0}
     return QueuePolicy('queue', SERVICE, **{**given, **fields})
 
 
 def make_step(**fields: Any) -> StepSpec:
-    """Returns a step."""
+    """Returns a step with one task, unless fields say otherwise."""
     given = {
         'count': 1,
         'demand': Room(2.0, 1000),
@@ -44,14 +44,14 @@
 def make_job(
     job_id: str, *steps: StepSpec, policy: QueuePolicy | None = None
 ) -> JobSpec:
-    """Returns a job."""
+    """Returns a job of one step, unless steps are given."""
     return JobSpec(
         job_id, 'payload', steps or (make_step(),), policy or make_policy()
     )
 
 
 def make_entry(name: str, **fields: Any) -> WorkerEntry:
-    """Returns a worker's registration."""
+    """Returns the registration of a worker."""
     given = {
         'started_ms': 1,
         'address': f'{name}:1',
@@ -65,7 +65,7 @@
 
 
 def add_worker(cluster: ClusterState, name: str, **fields: Any) -> Worker:
-    """Adds a worker that has answered."""
+    """Registers a worker that has answered and is reachable."""
     worker = cluster.register_worker(make_entry(name, **fields))
     worker.has_answered = worker.reachable = True
     return worker
@@ -74,7 +74,7 @@
 def find_task(
     cluster: ClusterState, job_id: str, step: int = 0, index: int = 0
 ) -> Task:
-    """Returns a task of the first occurrence."""
+    """Returns a task of the first occurrence of a job."""
     job = cluster.jobs[job_id]
     return job.tasks[TaskId(job_id, 0, step, index)]
 
@@ -82,7 +82,7 @@
 def run_task(
     cluster: ClusterState, task: Task, worker: Worker, now: float = 1.0
 ) -> None:
-    """Starts a task and lets the worker confirm it."""
+    """Places a task and confirms its start."""
     cluster.place([task], worker, now)
     cluster.confirm_start(task, task.run, now)
 
@@ -90,29 +90,29 @@
 def make_report(
     running: tuple[RunReport, ...] = (), ended: tuple[EndReport, ...] = ()
 ) -> WorkerReport:
-    """Returns a worker's lists."""
+    """Returns a report of a worker."""
     return WorkerReport(1, 1000, running, ended)
 
 
 def make_end(
     number: int, task: Task, run: int, kind: EndKind, checkpoint: str = ''
 ) -> EndReport:
-    """Returns the end of a run."""
+    """Returns a report of a run end."""
     return EndReport(number, str(task.id), run, kind, checkpoint)
 
 
 def make_running(task: Task, run: int, usage: float | None = None) -> RunReport:
-    """Returns a row of what runs."""
+    """Returns a report of a running task."""
     return RunReport(str(task.id), run, '', 0, usage)
 
 
 def admit(cluster: ClusterState, spec: JobSpec) -> Job:
-    """Admits a job at time 0."""
+    """Adds a job that was accepted at time 0."""
     return cluster.admit(spec, 0.0, 0.0)
 
 
 def hand_over(cluster: ClusterState) -> ClusterState:
-    """Returns the book of a new owner that has read all rows."""
+    """Returns the cluster state of a new owner, restored from all rows."""
     new = ClusterState()
     for job in cluster.jobs.values():
         restored = admit(new, job.spec)
@@ -123,25 +123,28 @@
 
 
 def run_pass(placer: Placer, now: float) -> list[tuple[Task, Worker]]:
-    """Places what can be placed; no worker is ruled out from outside."""
+    """Runs a placement pass that may use every worker."""
     return placer.place(now, lambda task, worker: True)
 
 
 def record_checks(
     monkeypatch: pytest.MonkeyPatch, name: str
 ) -> list[tuple[str, str]]:
-    """Returns a list that gets worker and job of each check by a view.
+    """Records the worker and job of each check by a worker view.
 
     Args:
-      monkeypatch: What undoes it after the test.
-      name: The method of `WorkerView` that checks a task.
+      monkeypatch: Fixture that undoes the change after the test.
+      name: Name of the method of `WorkerView` that checks a task.
+
+    Returns:
+      A list of worker and job ids, extended by each check.
     """
     checks: list[tuple[str, str]] = []
     check = getattr(WorkerView, name)
 
-    def note(view: WorkerView, task: Task) -> bool:
+    def record(view: WorkerView, task: Task) -> bool:
         checks.append((view.worker.id, task.id.job))
         return bool(check(view, task))
 
-    monkeypatch.setattr(WorkerView, name, note)
+    monkeypatch.setattr(WorkerView, name, record)
     return checks
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""What an owner makes of workers' lists."""
+"""Cluster state, reconciliation with worker reports, and state rows."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 )
 
 
-def take_over(worker: str) -> tuple[ClusterState, Task]:
-    """Returns the book of a new owner, and a task running on a worker."""
+def hand_over_running_task(worker: str) -> tuple[ClusterState, Task]:
+    """Returns a new owner's cluster state with a task running on a worker."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     run_task(cluster, find_task(cluster, 'a'), add_worker(cluster, worker))
@@ -34,7 +34,7 @@
     return new, find_task(new, 'a')
 
 
-def test_a_step_waits_for_all_tasks_before_it() -> None:
+def test_step_waits_for_all_predecessor_tasks() -> None:
     cluster = ClusterState()
     admit(cluster, make_job('a', make_step(count=2), make_step(after=(0,))))
     worker = add_worker(cluster, 'w')
@@ -47,7 +47,7 @@
     assert last.id in cluster.ready
 
 
-def test_only_failed_ends_use_up_attempts() -> None:
+def test_only_failed_runs_use_up_attempts() -> None:
     cluster = ClusterState()
     job = admit(cluster, make_job('a'))
     worker = add_worker(cluster, 'w')
@@ -62,7 +62,7 @@
     assert not cluster.ready
 
 
-def test_a_task_that_lasts_comes_back_however_it_ends() -> None:
+def test_long_running_task_is_requeued_after_any_end() -> None:
     cluster = ClusterState()
     job = admit(cluster, make_job('a', make_step(lasting=True)))
     worker = add_worker(cluster, 'w')
@@ -74,8 +74,8 @@
     assert job.state is JobState.RUNNING
 
 
-def test_a_job_runs_once_a_worker_has_begun_it() -> None:
-    """A job was shown as running while its start was still on its way."""
+def test_job_is_running_once_a_worker_has_started_it() -> None:
+    """A job was shown as running while its start command was in transit."""
     cluster = ClusterState()
     job = admit(cluster, make_job('a'))
     task = find_task(cluster, 'a')
@@ -89,7 +89,7 @@
     assert hand_over(cluster).count_pending() == {'queue': 0}
 
 
-def test_what_is_being_stopped_takes_room_until_its_end_is_listed() -> None:
+def test_stopping_tasks_reserve_resources_until_their_end_is_reported() -> None:
     cluster = ClusterState()
     admit(cluster, make_job('a', make_step(count=4, demand=make_step().demand)))
     worker = add_worker(cluster, 'w')
@@ -106,9 +106,9 @@
     assert worker.fits(make_step().demand)
 
 
-def test_an_end_that_was_not_written_reaches_the_next_owner() -> None:
-    """A task that was done was started a second time by the next owner."""
-    new, task = take_over('w')
+def test_unrecorded_end_reaches_the_next_owner() -> None:
+    """The next owner ran a task again whose end was not recorded."""
+    new, task = hand_over_running_task('w')
     worker = add_worker(new, 'w')
     ended = make_end(1, task, 1, EndKind.DONE)
     Reconciler(new).reconcile(worker, make_report(ended=(ended,)), 5.0, 5.0)
@@ -116,9 +116,9 @@
     assert not new.ready
 
 
-def test_a_newer_run_supersedes_what_the_row_tells() -> None:
-    """The end of an older run brought a task back that was done elsewhere."""
-    new, task = take_over('first')
+def test_newer_run_supersedes_the_recorded_run() -> None:
+    """The end of an older run requeued a task that was done elsewhere."""
+    new, task = hand_over_running_task('first')
     second = add_worker(new, 'second')
     first = add_worker(new, 'first')
     done = make_end(1, task, 2, EndKind.DONE)
@@ -129,8 +129,8 @@
     assert not new.ready
 
 
-def test_a_newer_run_is_adopted_not_stopped() -> None:
-    new, task = take_over('first')
+def test_newer_run_is_adopted_not_stopped() -> None:
+    new, task = hand_over_running_task('first')
     second = add_worker(new, 'second')
     running = make_running(task, 2)
     result = Reconciler(new).reconcile(
@@ -140,16 +140,16 @@
     assert task.worker == 'second'
 
 
-def test_what_was_taken_over_is_told_once() -> None:
-    new, task = take_over('w')
+def test_inherited_task_is_adopted_once() -> None:
+    new, task = hand_over_running_task('w')
     worker = add_worker(new, 'w')
     report = make_report(running=(make_running(task, 1),))
     assert Reconciler(new).reconcile(worker, report, 5.0, 5.0).adopted == [task]
     assert Reconciler(new).reconcile(worker, report, 6.0, 6.0).adopted == []
 
 
-def test_an_end_that_was_written_counts_once() -> None:
-    """A failure counted again by the next owner used up both attempts."""
+def test_recorded_failure_counts_once() -> None:
+    """The next owner counted a failure again, which used up both attempts."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     task = find_task(cluster, 'a')
@@ -163,11 +163,9 @@
     assert new.jobs['a'].state is JobState.RUNNING
 
 
-def test_failures_of_an_outage_count_in_whichever_order_they_are_heard() -> (
-    None
-):
-    """A failure heard late did not count, and the task ran a third time."""
-    new, task = take_over('first')
+def test_failures_count_in_any_order_of_reports() -> None:
+    """A failure reported late did not count, and the task ran a third time."""
+    new, task = hand_over_running_task('first')
     first, second = add_worker(new, 'first'), add_worker(new, 'second')
     for worker, run in ((second, 2), (first, 1)):
         ended = make_end(1, task, run, EndKind.FAILED)
@@ -177,8 +175,8 @@
     assert not new.ready
 
 
-def test_a_task_done_before_its_leases_ran_out_stays_done() -> None:
-    """A task that a cut-off worker had finished ran again."""
+def test_task_done_before_lease_expiry_stays_done() -> None:
+    """A task that a worker had finished while partitioned ran again."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     task = find_task(cluster, 'a')
@@ -192,7 +190,7 @@
     assert not cluster.ready
 
 
-def test_the_next_run_number_is_higher_than_any_unwritten_one() -> None:
+def test_next_run_number_exceeds_unrecorded_ones() -> None:
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     task = find_task(cluster, 'a')
@@ -204,8 +202,8 @@
     assert restored.run > 2
 
 
-def test_a_list_older_than_a_start_does_not_end_it() -> None:
-    """A run missing from an overtaken list was started again while it ran."""
+def test_report_requested_before_a_start_does_not_end_it() -> None:
+    """A running task missing from an outdated report was started again."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     worker = add_worker(cluster, 'w')
@@ -218,8 +216,8 @@
     assert task.id in cluster.ready
 
 
-def test_a_stop_ahead_of_its_start_ends_the_task() -> None:
-    """A start that arrives after its stop left the task waiting for its end."""
+def test_stop_that_overtakes_its_start_ends_the_task() -> None:
+    """A start that arrived after its stop left the task stopping forever."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     worker = add_worker(cluster, 'w')
@@ -233,8 +231,8 @@
     assert task.id in cluster.ready
 
 
-def test_what_runs_of_a_cancelled_job_is_stopped() -> None:
-    """A start is carried out late, after its job was cancelled."""
+def test_late_start_of_a_cancelled_job_is_stopped() -> None:
+    """A start is carried out after its job was cancelled."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     worker = add_worker(cluster, 'w')
@@ -252,7 +250,7 @@
     assert task.phase is TaskPhase.STOPPING
 
 
-def test_a_second_copy_is_stopped() -> None:
+def test_second_copy_of_a_task_is_stopped() -> None:
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     first = add_worker(cluster, 'first')
@@ -267,7 +265,7 @@
     assert result.stale_runs == [StaleRun('second', str(task.id), 2)]
 
 
-def test_a_worker_that_runs_something_unknown_is_opaque() -> None:
+def test_worker_with_unknown_tasks_is_marked() -> None:
     cluster = ClusterState()
     other = ClusterState()
     admit(other, make_job('b'))
@@ -280,28 +278,30 @@
     assert worker.runs_unknown_tasks
 
 
-def test_inherited_tasks_wait_while_starts_may_be_unwritten() -> None:
-    """Tasks started unwritten in an outage ran twice under the next owner."""
+def test_inherited_tasks_wait_while_unrecorded_starts_may_exist() -> None:
+    """Tasks started in an outage without a record ran twice after takeover."""
     cluster = ClusterState()
     admit(cluster, make_job('old'))
     admit(cluster, make_job('new'))
     add_worker(cluster, 'near')
-    cut = add_worker(cluster, 'cut')
-    cut.has_answered = False
-    doubt = UnrecordedStarts(cluster, False, 17.0, frozenset({'old'}))
-    assert doubt.may_exist(10.0)
-    assert doubt.affects(find_task(cluster, 'old'))
-    assert not doubt.affects(find_task(cluster, 'new'))
-    assert not doubt.may_exist(17.1)
-    cut.has_answered = True
-    assert not doubt.may_exist(10.0)
-    cut.has_answered = False
+    unreachable = add_worker(cluster, 'cut')
+    unreachable.has_answered = False
+    unrecorded_starts = UnrecordedStarts(
+        cluster, False, 17.0, frozenset({'old'})
+    )
+    assert unrecorded_starts.may_exist(10.0)
+    assert unrecorded_starts.affects(find_task(cluster, 'old'))
+    assert not unrecorded_starts.affects(find_task(cluster, 'new'))
+    assert not unrecorded_starts.may_exist(17.1)
+    unreachable.has_answered = True
+    assert not unrecorded_starts.may_exist(10.0)
+    unreachable.has_answered = False
     assert not UnrecordedStarts(cluster, True, 17.0, frozenset()).may_exist(
         10.0
     )
 
 
-def test_one_end_of_a_gang_stands_for_all() -> None:
+def test_one_done_member_completes_its_gang() -> None:
     cluster = ClusterState()
     job = admit(cluster, make_job('a', make_step(count=3, gang=True)))
     worker = add_worker(cluster, 'w')
@@ -314,7 +314,7 @@
     assert job.state is JobState.COMPLETED
 
 
-def test_a_gang_fails_after_its_attempts_in_all() -> None:
+def test_gang_members_share_their_attempts() -> None:
     cluster = ClusterState()
     spec = make_job(
         'a', make_step(count=2, gang=True), policy=make_policy(max_attempts=2)
@@ -330,8 +330,8 @@
     assert job.state is JobState.FAILED
 
 
-def test_a_row_of_many_tasks_is_short_and_tells_the_same() -> None:
-    """Rows of wide jobs were over a third of what an owner sends."""
+def test_row_of_many_tasks_is_short_and_complete() -> None:
+    """Rows of wide jobs were over a third of the bytes sent by an owner."""
     cluster = ClusterState()
     admit(cluster, make_job('a', make_step(count=80), make_step(after=(0,))))
     worker = add_worker(cluster, 'i-40bb3c7090')
@@ -343,21 +343,21 @@
     cluster.end_run(tasks[50], EndKind.FAILED, 2.0)
     tasks[51].checkpoint = '00000bb87a21d94b'
     new = hand_over(cluster)
-    found = [find_task(new, 'a', 0, index) for index in range(80)]
-    for known, task in zip(tasks, found, strict=True):
+    restored = [find_task(new, 'a', 0, index) for index in range(80)]
+    for original, task in zip(tasks, restored, strict=True):
         assert (task.run, task.failed_runs, task.checkpoint) == (
             (0, set(), '')
-            if known.phase is TaskPhase.DONE
-            else (known.run, known.failed_runs, known.checkpoint)
+            if original.phase is TaskPhase.DONE
+            else (original.run, original.failed_runs, original.checkpoint)
         )
-        assert (task.phase, task.worker) == (known.phase, known.worker)
-    # 13 bytes went to each task that is done, and 6 to usual values of each
-    # that runs: 1,245 in all.
+        assert (task.phase, task.worker) == (original.phase, original.worker)
+    # Without ranges and with default values, the row takes 1,245 bytes: 13
+    # more for each done task and 6 more for each running task.
     assert len(orjson.dumps(encode_state(cluster.jobs['a']))) < 650
 
 
-def test_a_row_of_an_earlier_version_is_read() -> None:
-    """Hosts get a new version one by one; its owner reads the old rows."""
+def test_row_of_an_earlier_version_is_restored() -> None:
+    """In a rolling upgrade, the new version must read rows of the old one."""
     cluster = ClusterState()
     job = admit(cluster, make_job('a', make_step(count=2)))
     body = {
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -1,4 +1,4 @@
-"""Room for urgent work where lasting tasks ask for more than there is."""
+"""Headroom for urgent tasks under overload by long-running tasks."""
 
 from __future__ import annotations
 
@@ -24,96 +24,98 @@
 
 PASS_SECONDS = 0.1
 
-BACK_SECONDS = 6.0
-"""Within which a lost lasting task is to run again, where there is room."""
+RESTART_LIMIT_SECONDS = 6.0
+"""Time within which an interrupted long-running task must run again."""
 
-LASTING = make_step(demand=Room(4.0, 1000), lasting=True, image='x')
+LONG_RUNNING = make_step(demand=Room(4.0, 1000), lasting=True, image='x')
 URGENT = make_step(demand=Room(2.0, 1000))
 
 
-def place_all(placer: Placer, now: float) -> list[str]:
-    """Runs a pass; returns the jobs of what it placed."""
+def place_ready(placer: Placer, now: float) -> list[str]:
+    """Runs a pass; returns the job ids of the placed tasks."""
     placed = run_pass(placer, now)
     return [task.id.job for task, _ in placed]
 
 
-def test_urgent_work_goes_before_lasting_tasks_that_wait() -> None:
-    """A lasting task took the core that a job of a second needed at once."""
+def test_urgent_tasks_go_before_waiting_long_running_tasks() -> None:
+    """A long-running task took the core that an urgent job needed at once."""
     cluster = ClusterState()
     add_worker(cluster, 'w', capacity=Room(4.0, 16_000))
-    admit(cluster, make_job('lasting', LASTING))
+    admit(cluster, make_job('lasting', LONG_RUNNING))
     urgent = make_policy(stretch=9.0)
     admit(cluster, make_job('urgent', URGENT, policy=urgent))
     placer = Placer(cluster, InterferenceModel())
-    assert place_all(placer, 5.0) == ['urgent']
+    assert place_ready(placer, 5.0) == ['urgent']
 
 
-def test_a_late_job_does_not_go_before_lasting_tasks() -> None:
+def test_late_urgent_job_does_not_go_before_long_running_tasks() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'w', capacity=Room(4.0, 16_000))
-    admit(cluster, make_job('lasting', LASTING))
+    admit(cluster, make_job('lasting', LONG_RUNNING))
     admit(cluster, make_job('late', URGENT))
-    assert place_all(Placer(cluster, InterferenceModel()), 5.0) == ['lasting']
+    assert place_ready(Placer(cluster, InterferenceModel()), 5.0) == ['lasting']
 
 
-def test_lasting_tasks_leave_room_to_urgent_work_for_a_while() -> None:
-    """Lost lasting tasks took each gap before the next urgent job came."""
+def test_long_running_tasks_leave_headroom_for_a_limited_time() -> None:
+    """Interrupted tasks took each free core before the next urgent job."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(6.0, 64_000))
-    admit(cluster, make_job('lasting', LASTING))
-    lasting = find_task(cluster, 'lasting')
+    admit(cluster, make_job('lasting', LONG_RUNNING))
+    long_running = find_task(cluster, 'lasting')
     policy = make_policy(stretch=99.0)
     placer = Placer(cluster, InterferenceModel())
-    run_task(cluster, lasting, worker)
-    # Urgent work keeps the two cores beside it busy.
+    run_task(cluster, long_running, worker)
+    # Urgent tasks keep the other two cores busy.
     now = 0.0
     while now < 3 * AVERAGING_SECONDS:
         job = admit(
             cluster, make_job(f'urgent-{now:.1f}', URGENT, policy=policy)
         )
         job.accepted_at = now
-        place_all(placer, now)
+        place_ready(placer, now)
         for task in list(worker.tasks.values()):
-            if task is not lasting:
+            if task is not long_running:
                 cluster.confirm_start(task, task.run, now)
                 cluster.end_run(task, EndKind.DONE, now)
         now += PASS_SECONDS
-    cluster.end_run(lasting, EndKind.FAILED, now)
-    assert 'lasting' not in place_all(placer, now + PASS_SECONDS)
-    assert 'lasting' in place_all(placer, now + MAX_HEADROOM_WAIT_SECONDS)
+    cluster.end_run(long_running, EndKind.FAILED, now)
+    assert 'lasting' not in place_ready(placer, now + PASS_SECONDS)
+    assert 'lasting' in place_ready(placer, now + MAX_HEADROOM_WAIT_SECONDS)
 
 
-def test_without_urgent_work_a_lasting_task_is_placed_at_once() -> None:
+def test_without_urgent_tasks_no_headroom_is_left() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(6.0, 64_000))
-    admit(cluster, make_job('lasting', LASTING))
-    lasting = find_task(cluster, 'lasting')
-    run_task(cluster, lasting, worker)
-    cluster.end_run(lasting, EndKind.FAILED, 9.0)
-    assert place_all(Placer(cluster, InterferenceModel()), 9.1) == ['lasting']
+    admit(cluster, make_job('lasting', LONG_RUNNING))
+    long_running = find_task(cluster, 'lasting')
+    run_task(cluster, long_running, worker)
+    cluster.end_run(long_running, EndKind.FAILED, 9.0)
+    assert place_ready(Placer(cluster, InterferenceModel()), 9.1) == ['lasting']
 
 
-def test_a_lost_lasting_task_is_back_beside_urgent_work() -> None:
-    """Urgent tasks took each gap before it was large enough for a lost one."""
+def test_interrupted_long_running_task_restarts_under_urgent_load() -> None:
+    """Urgent tasks filled each gap before it was large enough to restart."""
     cluster = ClusterState()
     workers = [
         add_worker(cluster, name, capacity=Room(4.0, 64_000)) for name in 'ab'
     ]
-    admit(cluster, make_job('lasting', LASTING))
-    lasting = find_task(cluster, 'lasting')
-    run_task(cluster, lasting, workers[0])
+    admit(cluster, make_job('lasting', LONG_RUNNING))
+    long_running = find_task(cluster, 'lasting')
+    run_task(cluster, long_running, workers[0])
     policy = make_policy(stretch=99.0)
     placer = Placer(cluster, InterferenceModel())
-    lost_at = 2.0
-    cluster.end_run(lasting, EndKind.FAILED, lost_at)
-    for number in range(round(BACK_SECONDS / PASS_SECONDS)):
-        now = lost_at + number * PASS_SECONDS
-        # Always more than there is room for, and it can be in time.
-        while sum(task is not lasting for task in cluster.ready.values()) < 5:
+    interrupted_at = 2.0
+    cluster.end_run(long_running, EndKind.FAILED, interrupted_at)
+    for number in range(round(RESTART_LIMIT_SECONDS / PASS_SECONDS)):
+        now = interrupted_at + number * PASS_SECONDS
+        # More urgent tasks than fit, all of which can still be in time.
+        while (
+            sum(task is not long_running for task in cluster.ready.values()) < 5
+        ):
             name = f'urgent-{len(cluster.jobs)}'
             job = admit(cluster, make_job(name, URGENT, policy=policy))
             job.accepted_at = now
-        placed = place_all(placer, now)
+        placed = place_ready(placer, now)
         if 'lasting' in placed:
             return
         for worker in workers:
@@ -121,4 +123,4 @@
                 if now - task.placed_at >= URGENT.estimated_seconds:
                     cluster.confirm_start(task, task.run, now)
                     cluster.end_run(task, EndKind.DONE, now)
-    raise AssertionError('the lasting task is not back')
+    raise AssertionError('the long-running task was not restarted in time')
--- a/tests/test_pending_jobs.py
+++ b/tests/test_pending_jobs.py
@@ -1,4 +1,4 @@
-"""Which jobs callers are told to be waiting."""
+"""Which jobs are counted as pending."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-def test_a_job_waits_until_a_worker_has_begun_it() -> None:
-    """Jobs whose starts never arrived counted as begun."""
+def test_job_is_pending_until_a_worker_has_started_it() -> None:
+    """Jobs whose start commands never arrived were counted as started."""
     cluster = ClusterState()
     admit(cluster, make_job('a'))
     task = find_task(cluster, 'a')
@@ -38,8 +38,8 @@
     assert new.count_pending() == {name: 0}
 
 
-def test_a_new_owner_knows_what_has_begun_by_what_it_has_done() -> None:
-    """Neither ends of the previous owner's time nor checkpoints are lost."""
+def test_new_owner_derives_started_jobs_from_ends_and_checkpoints() -> None:
+    """Jobs with ends or checkpoints from before a takeover count as started."""
     for kind, checkpoint in (
         (EndKind.DONE, ''),
         (EndKind.FAILED, ''),
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Workers held for lasting tasks that were lost."""
+"""Reservations of workers for interrupted long-running tasks."""
 
 from __future__ import annotations
 
@@ -29,121 +29,134 @@
     run_task,
 )
 
-LASTING = make_step(demand=Room(4.0, 1000), lasting=True, image='x')
-LOST_AT = 2.0
-AWAY_AT = LOST_AT + RESTART_OVERDUE_SECONDS
+LONG_RUNNING = make_step(demand=Room(4.0, 1000), lasting=True, image='x')
+INTERRUPTED_AT = 2.0
+OVERDUE_AT = INTERRUPTED_AT + RESTART_OVERDUE_SECONDS
 
 
-def fill(
-    cluster: ClusterState, worker: Worker, name: str, lasting: bool
+def occupy(
+    cluster: ClusterState, worker: Worker, name: str, long_running: bool
 ) -> None:
-    """Leaves a worker one core, beside a task that is short or lasts."""
-    step = make_step(demand=Room(3.0, 1000), lasting=lasting)
+    """Runs a task on a worker that leaves one core free."""
+    step = make_step(demand=Room(3.0, 1000), lasting=long_running)
     admit(cluster, make_job(name, step))
     run_task(cluster, find_task(cluster, name), worker)
 
 
-def lose(cluster: ClusterState, name: str) -> Task:
-    """Makes a lasting task that has run on a worker that is gone."""
+def interrupt_task(cluster: ClusterState, name: str) -> Task:
+    """Creates a long-running task whose worker was lost."""
     gone = add_worker(cluster, f'gone-{name}', capacity=Room(4.0, 64_000))
-    admit(cluster, make_job(name, LASTING))
+    admit(cluster, make_job(name, LONG_RUNNING))
     task = find_task(cluster, name)
     run_task(cluster, task, gone)
-    cluster.end_run(task, EndKind.FAILED, LOST_AT)
+    cluster.end_run(task, EndKind.FAILED, INTERRUPTED_AT)
     gone.is_registered = False
     return task
 
 
 def list_views(cluster: ClusterState) -> list[WorkerView]:
-    """Lists the workers that take work."""
-    return WorkerViews(cluster, InterferenceModel()).list_open(AWAY_AT)
+    """Lists the workers that accept new tasks."""
+    return WorkerViews(cluster, InterferenceModel()).list_open(OVERDUE_AT)
 
 
-def test_a_held_worker_takes_nothing_else() -> None:
-    """Urgent work took what had become free for a lost lasting task."""
+def test_reserved_worker_accepts_no_other_task() -> None:
+    """Urgent tasks took the cores that became free for an interrupted task."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
-    fill(cluster, worker, 'short', lasting=False)
-    lost = lose(cluster, 'lost')
+    occupy(cluster, worker, 'short', long_running=False)
+    interrupted = interrupt_task(cluster, 'lost')
     urgent = make_step(demand=Room(1.0, 1000))
     policy = make_policy(stretch=99.0)
     admit(cluster, make_job('urgent', urgent, policy=policy))
     placer = Placer(cluster, InterferenceModel())
-    assert run_pass(placer, AWAY_AT) == []
+    assert run_pass(placer, OVERDUE_AT) == []
     short = find_task(cluster, 'short')
-    cluster.end_run(short, EndKind.DONE, AWAY_AT)
-    placed = run_pass(placer, AWAY_AT + 0.1)
-    assert placed == [(lost, worker)]
+    cluster.end_run(short, EndKind.DONE, OVERDUE_AT)
+    placed = run_pass(placer, OVERDUE_AT + 0.1)
+    assert placed == [(interrupted, worker)]
 
 
-def test_no_worker_is_held_where_others_last() -> None:
-    """A worker that never has room for the task idled beside what lasts."""
+def test_no_worker_is_reserved_where_only_long_running_tasks_run() -> None:
+    """A worker stayed idle for a task that would never fit beside others."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
-    fill(cluster, worker, 'other', lasting=True)
-    lost = lose(cluster, 'lost')
+    occupy(cluster, worker, 'other', long_running=True)
+    interrupted = interrupt_task(cluster, 'lost')
     assert (
-        WorkerReservations().reserve(lost, list_views(cluster), AWAY_AT) is None
+        WorkerReservations().reserve(
+            interrupted, list_views(cluster), OVERDUE_AT
+        )
+        is None
     )
 
 
-def test_no_worker_is_held_for_a_task_that_has_room() -> None:
-    """A task that waits for advice kept a worker from all others."""
+def test_no_worker_is_reserved_for_a_task_that_fits() -> None:
+    """A task that waited for the advice service reserved a worker."""
     cluster = ClusterState()
     add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
-    lost = lose(cluster, 'lost')
+    interrupted = interrupt_task(cluster, 'lost')
     assert (
-        WorkerReservations().reserve(lost, list_views(cluster), AWAY_AT) is None
+        WorkerReservations().reserve(
+            interrupted, list_views(cluster), OVERDUE_AT
+        )
+        is None
     )
 
 
-def test_few_workers_are_held_at_once() -> None:
-    """After the loss of a zone all others would have stood still."""
+def test_only_a_few_workers_are_reserved_at_once() -> None:
+    """After the loss of a zone, all remaining workers were reserved."""
     cluster = ClusterState()
     count = round(2 / MAX_RESERVED_SHARE)
     for number in range(count):
         name = f'w-{number}'
         worker = add_worker(cluster, name, capacity=Room(4.0, 64_000))
-        fill(cluster, worker, f'short-{number}', lasting=False)
-    lost = [lose(cluster, f'lost-{number}') for number in range(count)]
-    holds = WorkerReservations()
+        occupy(cluster, worker, f'short-{number}', long_running=False)
+    interrupted = [
+        interrupt_task(cluster, f'lost-{number}') for number in range(count)
+    ]
+    reservations = WorkerReservations()
     views = list_views(cluster)
-    held = [holds.reserve(task, views, AWAY_AT) for task in lost]
-    assert sum(view is not None for view in held) == 2
+    reserved = [
+        reservations.reserve(task, views, OVERDUE_AT) for task in interrupted
+    ]
+    assert sum(view is not None for view in reserved) == 2
 
 
-def test_a_hold_is_not_chosen_anew_by_each_pass(
+def test_reservation_is_not_recomputed_in_each_pass(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Choosing among all workers in each pass took an owner's processor."""
+    """Choosing among all workers in each pass took an owner's CPU time."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
-    fill(cluster, worker, 'short', lasting=False)
-    lost = lose(cluster, 'lost')
+    occupy(cluster, worker, 'short', long_running=False)
+    interrupted = interrupt_task(cluster, 'lost')
     checks = record_checks(monkeypatch, 'accepts')
-    holds = WorkerReservations()
+    reservations = WorkerReservations()
     views = list_views(cluster)
-    for now in (AWAY_AT, AWAY_AT + RESERVATION_SECONDS / 2):
-        holds.expire(now)
-        view = holds.reserve(lost, views, now)
+    for now in (OVERDUE_AT, OVERDUE_AT + RESERVATION_SECONDS / 2):
+        reservations.expire(now)
+        view = reservations.reserve(interrupted, views, now)
         assert view is not None
         assert view.worker is worker
     assert checks == [('w', 'lost')]
-    holds.expire(AWAY_AT + RESERVATION_SECONDS)
-    holds.reserve(lost, views, AWAY_AT + RESERVATION_SECONDS)
+    reservations.expire(OVERDUE_AT + RESERVATION_SECONDS)
+    reservations.reserve(interrupted, views, OVERDUE_AT + RESERVATION_SECONDS)
     assert len(checks) == 2
 
 
-def test_a_hold_ends_with_its_task() -> None:
-    """The worker of a cancelled job's task was kept from others for 2 s."""
+def test_reservation_ends_with_its_task() -> None:
+    """The worker stayed reserved for 2 s after its task was cancelled."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w', capacity=Room(4.0, 64_000))
-    fill(cluster, worker, 'short', lasting=False)
-    cancelled, lost = lose(cluster, 'cancelled'), lose(cluster, 'lost')
-    holds = WorkerReservations()
+    occupy(cluster, worker, 'short', long_running=False)
+    cancelled, interrupted = (
+        interrupt_task(cluster, 'cancelled'),
+        interrupt_task(cluster, 'lost'),
+    )
+    reservations = WorkerReservations()
     views = list_views(cluster)
-    assert holds.reserve(cancelled, views, AWAY_AT) is not None
-    assert holds.reserve(lost, views, AWAY_AT) is None
-    cluster.cancel('cancelled', AWAY_AT)
-    holds.expire(AWAY_AT)
-    assert holds.reserve(lost, views, AWAY_AT) is not None
+    assert reservations.reserve(cancelled, views, OVERDUE_AT) is not None
+    assert reservations.reserve(interrupted, views, OVERDUE_AT) is None
+    cluster.cancel('cancelled', OVERDUE_AT)
+    reservations.expire(OVERDUE_AT)
+    assert reservations.reserve(interrupted, views, OVERDUE_AT) is not None
--- a/tests/test_task_placement.py
+++ b/tests/test_task_placement.py
@@ -1,4 +1,4 @@
-"""Which task goes first, and to which worker."""
+"""Order of tasks, choice of workers, and quarantine of workers."""
 
 from __future__ import annotations
 
@@ -34,41 +34,41 @@
 )
 
 
-def place(
+def run_one_pass(
     cluster: ClusterState, now: float = 10.0
 ) -> list[tuple[Task, Worker]]:
-    """Runs one pass."""
+    """Runs one placement pass with an empty interference model."""
     return run_pass(Placer(cluster, InterferenceModel()), now)
 
 
-def test_a_worker_is_never_filled_beyond_its_capacity() -> None:
+def test_worker_capacity_is_never_exceeded() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('a', make_step(count=9)))
-    assert len(place(cluster)) == 4
+    assert len(run_one_pass(cluster)) == 4
     assert worker.used == Room(8.0, 4000)
-    assert place(cluster) == []
+    assert run_one_pass(cluster) == []
 
 
-def test_filling_tasks_take_memory_but_no_cores() -> None:
+def test_best_effort_tasks_reserve_memory_but_no_cores() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('a', make_step(count=2, fills=True, image='f')))
-    assert len(place(cluster)) == 2
+    assert len(run_one_pass(cluster)) == 2
     assert worker.used == Room(0.0, 2000)
 
 
-def test_labels_and_bounds_per_worker_hold() -> None:
+def test_labels_and_limits_per_worker_are_respected() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'plain')
     special = add_worker(cluster, 'special', labels=('b', 'r1'))
     admit(
         cluster, make_job('a', make_step(count=3, label='b', most_per_worker=2))
     )
-    assert [w for _, w in place(cluster)] == [special, special]
+    assert [w for _, w in run_one_pass(cluster)] == [special, special]
 
 
-def test_leaving_silent_and_closed_workers_get_nothing() -> None:
+def test_unavailable_workers_get_no_tasks() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'leaving', state=WorkerState.DRAINING)
     add_worker(cluster, 'silent').reachable = False
@@ -76,10 +76,10 @@
     add_worker(cluster, 'closed').quarantined_until = 99.0
     add_worker(cluster, 'gone').is_registered = False
     admit(cluster, make_job('a'))
-    assert place(cluster) == []
+    assert run_one_pass(cluster) == []
 
 
-def test_a_failed_task_tries_another_worker() -> None:
+def test_failed_task_runs_on_another_worker() -> None:
     cluster = ClusterState()
     first = add_worker(cluster, 'first')
     second = add_worker(cluster, 'second')
@@ -87,11 +87,11 @@
     task = find_task(cluster, 'a')
     run_task(cluster, task, first)
     cluster.end_run(task, EndKind.FAILED, 2.0)
-    assert [w for _, w in place(cluster)] == [second]
+    assert [w for _, w in run_one_pass(cluster)] == [second]
 
 
-def test_what_fits_is_not_held_up_by_much_that_does_not() -> None:
-    """Urgent jobs without room held up filling work, which needs none."""
+def test_infeasible_steps_do_not_block_best_effort_tasks() -> None:
+    """Urgent jobs that did not fit blocked best-effort tasks, which did."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
     for number in range(3 * MAX_FAILED_STEPS):
@@ -99,24 +99,24 @@
         admit(cluster, make_job(f'urgent-{number}', step))
     low = make_policy(priority=2)
     admit(cluster, make_job('low', make_step(fills=True), policy=low))
-    assert [task.id.job for task, _ in place(cluster)] == ['low']
+    assert [task.id.job for task, _ in run_one_pass(cluster)] == ['low']
 
 
-def test_urgent_steps_of_all_sizes_do_not_hold_up_what_needs_no_room() -> None:
-    """Forty sizes without a worker ended the pass before any filling work."""
+def test_infeasible_steps_of_all_sizes_do_not_block_best_effort_tasks() -> None:
+    """40 infeasible sizes ended the pass before any best-effort task."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
     for number in range(3 * MAX_FAILED_STEPS):
-        # The next one asks for less, so the ones before say nothing of it.
+        # Each requests less than the one before, so it is not skipped.
         step = make_step(demand=Room(90.0 - number / 10, 1000))
         admit(cluster, make_job(f'urgent-{number}', step))
     low = make_policy(priority=2)
     admit(cluster, make_job('low', make_step(fills=True), policy=low))
-    assert [task.id.job for task, _ in place(cluster)] == ['low']
+    assert [task.id.job for task, _ in run_one_pass(cluster)] == ['low']
 
 
-def test_lasting_steps_of_all_sizes_do_not_hold_up_a_small_one() -> None:
-    """The largest goes first, and none spoke for the smaller ones after it."""
+def test_infeasible_long_running_steps_do_not_block_a_small_one() -> None:
+    """The largest step goes first and does not rule out smaller ones."""
     cluster = ClusterState()
     add_worker(cluster, 'w')
     for number in range(3 * MAX_FAILED_STEPS):
@@ -124,13 +124,13 @@
         admit(cluster, make_job(f'large-{number}', large))
     small = make_step(demand=Room(1.0, 1000), lasting=True)
     admit(cluster, make_job('small', small))
-    assert [task.id.job for task, _ in place(cluster)] == ['small']
+    assert [task.id.job for task, _ in run_one_pass(cluster)] == ['small']
 
 
-def test_a_larger_step_is_not_tried_after_a_smaller_one(
+def test_larger_step_is_not_tried_after_an_infeasible_smaller_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What finds no worker speaks for all that asks for more."""
+    """A step that fits nowhere rules out all larger ones in the same pass."""
     cluster = ClusterState()
     add_worker(cluster, 'few-cores')
     add_worker(cluster, 'little-memory', capacity=Room(99.0, 500))
@@ -138,49 +138,49 @@
         step = make_step(demand=Room(9.0 + number, 1000))
         admit(cluster, make_job(f'urgent-{number:02}', step))
     checks = record_checks(monkeypatch, 'can_start')
-    assert place(cluster) == []
+    assert run_one_pass(cluster) == []
     assert checks == [
         ('few-cores', 'urgent-00'),
         ('little-memory', 'urgent-00'),
     ]
 
 
-def test_a_gang_is_placed_whole_or_not_at_all() -> None:
+def test_gang_is_placed_whole_or_not_at_all() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'w')
     admit(cluster, make_job('a', make_step(count=5, gang=True)))
-    assert place(cluster) == []
+    assert run_one_pass(cluster) == []
     assert all(
         t.phase is TaskPhase.WAITING and t.run == 0
         for t in cluster.jobs['a'].tasks.values()
     )
     add_worker(cluster, 'v')
-    placed = place(cluster)
+    placed = run_one_pass(cluster)
     assert len(placed) == 5
     assert {task.run for task, _ in placed} == {1}
 
 
-def test_a_gang_of_one_rack_stays_on_it() -> None:
+def test_same_rack_gang_is_placed_on_one_rack() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'a', labels=('a', 'r1'))
     add_worker(cluster, 'b', labels=('a', 'r2'))
     add_worker(cluster, 'c', labels=('a', 'r2'))
     step = make_step(count=4, gang=True, same_rack=True)
     admit(cluster, make_job('j', step))
-    racks = {worker.rack for _, worker in place(cluster)}
+    racks = {worker.rack for _, worker in run_one_pass(cluster)}
     assert len(racks) == 1
 
 
-def test_data_draws_its_tasks() -> None:
+def test_tasks_are_placed_near_their_data() -> None:
     cluster = ClusterState()
     add_worker(cluster, 'far', labels=('a', 'r1'))
     near = add_worker(cluster, 'near', labels=('a', 'r2'))
     admit(cluster, make_job('a', make_step(rack='r2')))
-    assert [w for _, w in place(cluster)] == [near]
+    assert [w for _, w in run_one_pass(cluster)] == [near]
 
 
-def test_jobs_that_can_be_in_time_go_before_those_that_cannot() -> None:
-    """By deadline alone a job that is late already makes the next one late."""
+def test_jobs_in_time_go_before_late_jobs() -> None:
+    """Ordered by deadline alone, a late job makes the next one late as well."""
     cluster = ClusterState()
     policy = make_policy(stretch=1.0, target_seconds=2.0)
     late = admit(cluster, make_job('late', policy=policy))
@@ -190,8 +190,8 @@
     assert order == [fresh, late]
 
 
-def test_filling_work_that_is_begun_goes_on_before_more_is_begun() -> None:
-    """Places shared by deadline made every best-effort job late."""
+def test_started_best_effort_jobs_go_before_new_ones() -> None:
+    """Sharing the slots by deadline made every best-effort job late."""
     cluster = ClusterState()
     small = make_step(count=2, fills=True, image='f', after=())
     large = make_step(count=5, fills=True, image='f')
@@ -207,7 +207,7 @@
     assert [s[0].id.job for s in steps][:2] == ['begun', 'small']
 
 
-def test_priority_goes_before_deadlines() -> None:
+def test_priority_goes_before_deadline() -> None:
     cluster = ClusterState()
     low = admit(cluster, make_job('low', policy=make_policy(priority=2)))
     low.accepted_at = -1.0
@@ -216,22 +216,22 @@
     assert order == [high, low]
 
 
-def test_lasting_tasks_that_come_together_share_a_worker_by_image() -> None:
+def test_long_running_steps_that_arrive_together_are_grouped_by_image() -> None:
     cluster = ClusterState()
     for name in 'vw':
         add_worker(cluster, name)
     for number, image in enumerate(('x', 'y', 'x', 'y')):
         step = make_step(count=2, lasting=True, image=image, target_ms=50.0)
         admit(cluster, make_job(f'j{number}', step))
-    assert place(cluster, now=0.1) == []
+    assert run_one_pass(cluster, now=0.1) == []
     images: dict[str, set[str]] = {}
-    for task, worker in place(cluster, now=0.3):
+    for task, worker in run_one_pass(cluster, now=0.3):
         images.setdefault(worker.id, set()).add(task.spec.image)
     assert sorted(len(found) for found in images.values()) == [1, 1]
 
 
-def test_steps_bounded_per_worker_spread_where_their_image_is() -> None:
-    """Placed last, bounded tasks kept further workers from filling work."""
+def test_steps_limited_per_worker_share_workers_of_their_image() -> None:
+    """Limited steps placed last kept more workers from best-effort tasks."""
     cluster = ClusterState()
     for number in range(6):
         add_worker(cluster, f'w{number}')
@@ -243,31 +243,31 @@
         cluster,
         make_job('other', make_step(count=8, **{**image, 'image': 'y'})),
     )
-    placed = place(cluster, now=1.0)
+    placed = run_one_pass(cluster, now=1.0)
     workers = {worker.id for task, worker in placed if task.spec.image == 'x'}
-    # Twelve tasks of a quarter of a worker each.
+    # The image has twelve tasks that each need a quarter of a worker.
     assert len(placed) == 20
     assert len(workers) == 3
 
 
-def test_a_worker_that_fails_everything_is_closed_and_tried_again() -> None:
+def test_worker_that_fails_everything_is_quarantined_and_tested() -> None:
     """A failing worker, always free, used up the attempts of job after job."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     health = WorkerHealth()
-    closed = False
+    was_quarantined = False
     for number in range(MAX_FAILED_JOBS):
         admit(cluster, make_job(f'j{number}'))
         task = find_task(cluster, f'j{number}')
         run_task(cluster, task, worker)
         cluster.end_run(task, EndKind.FAILED, 2.0)
-        closed = health.record_end(worker, task, EndKind.FAILED, 2.0)
-    assert closed
-    assert place(cluster, now=2.5) == []
-    assert len(place(cluster, now=2.1 + QUARANTINE_SECONDS)) == 1
+        was_quarantined = health.record_end(worker, task, EndKind.FAILED, 2.0)
+    assert was_quarantined
+    assert run_one_pass(cluster, now=2.5) == []
+    assert len(run_one_pass(cluster, now=2.1 + QUARANTINE_SECONDS)) == 1
 
 
-def test_one_bad_job_does_not_close_a_worker() -> None:
+def test_one_failing_job_does_not_quarantine_a_worker() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     health = WorkerHealth()
@@ -277,7 +277,7 @@
         assert not health.record_end(worker, task, EndKind.FAILED, 1.0)
 
 
-def test_a_task_that_uses_no_processor_hangs() -> None:
+def test_task_without_cpu_usage_hangs() -> None:
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('a'))
@@ -288,8 +288,8 @@
     assert list_hanging(worker, 1.1 + HANG_SECONDS) == [task]
 
 
-def test_a_worker_on_trial_gets_one_task_beside_what_it_had() -> None:
-    """An old lasting task counted as the trial, and kept the worker out."""
+def test_worker_on_probation_gets_one_new_task() -> None:
+    """An old long-running task counted as the test and blocked the worker."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('old', make_step(lasting=True)))
@@ -297,39 +297,42 @@
     health = WorkerHealth()
     health.quarantine(worker, 10.0)
     admit(cluster, make_job('new', make_step(count=3, lasting=True)))
-    opened = worker.quarantined_until + 1.0
-    placed = place(cluster, now=opened)
+    quarantine_end = worker.quarantined_until + 1.0
+    placed = run_one_pass(cluster, now=quarantine_end)
     assert len(placed) == 1
     task = placed[0][0]
-    cluster.confirm_start(task, task.run, opened)
-    health.end_probations([worker], opened + 0.5)
-    assert place(cluster, now=opened + 0.5) == []
-    health.end_probations([worker], opened + 0.1 + PROBATION_SECONDS)
-    assert len(place(cluster, now=opened + 0.1 + PROBATION_SECONDS)) == 2
+    cluster.confirm_start(task, task.run, quarantine_end)
+    health.end_probations([worker], quarantine_end + 0.5)
+    assert run_one_pass(cluster, now=quarantine_end + 0.5) == []
+    health.end_probations([worker], quarantine_end + 0.1 + PROBATION_SECONDS)
+    assert (
+        len(run_one_pass(cluster, now=quarantine_end + 0.1 + PROBATION_SECONDS))
+        == 2
+    )
 
 
 def test_a_worker_over_a_target_gets_nothing_that_fills() -> None:
-    """Each new filling task ran until the next look and kept the tail up."""
+    """New best-effort tasks ran until the next poll and kept the tail high."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     step = make_step(lasting=True, image='web', target_ms=50.0)
     admit(cluster, make_job('serving', step))
-    served = find_task(cluster, 'serving')
-    run_task(cluster, served, worker, 0.0)
+    serving_task = find_task(cluster, 'serving')
+    run_task(cluster, serving_task, worker, 0.0)
     interference_model = InterferenceModel()
     interference_model.restore([['web', 'light', 0.0]])
     admit(cluster, make_job('fill', make_step(fills=True, image='light')))
     placer = Placer(cluster, interference_model)
-    served.usage = 60.0
+    serving_task.usage = 60.0
     interference_model.observe(worker, 9.0)
     assert run_pass(placer, 10.0) == []
-    served.usage = 20.0
+    serving_task.usage = 20.0
     interference_model.observe(worker, 11.0)
     assert len(run_pass(placer, 11.0)) == 1
 
 
 def test_ends_of_the_previous_owners_time_close_no_worker() -> None:
-    """Failures told at a takeover at once closed a third of the workers."""
+    """Old failures reported after a takeover quarantined 1/3 of the workers."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     health = WorkerHealth()
@@ -339,8 +342,8 @@
         assert not health.record_end(worker, task, EndKind.FAILED, 2.0)
 
 
-class PlacingMachine(RuleBasedStateMachine):
-    """Jobs come, tasks end and workers come and go as drawn."""
+class PlacementMachine(RuleBasedStateMachine):
+    """Random submissions, run ends, lease expiries and cancellations."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -373,7 +376,7 @@
         self.jobs += 1
 
     @rule(seconds=strategies.floats(0.01, 2.0))
-    def pass_over(self, seconds: float) -> None:
+    def run_placement_pass(self, seconds: float) -> None:
         self.now += seconds
         for task, _ in self.placer.place(self.now, lambda t, w: True):
             self.cluster.confirm_start(task, task.run, self.now)
@@ -388,7 +391,7 @@
             self.cluster.end_run(task, kind, self.now)
 
     @rule(number=strategies.integers(0, 2))
-    def lapse(self, number: int) -> None:
+    def expire_leases(self, number: int) -> None:
         self.cluster.end_worker_tasks(
             self.cluster.workers[f'w{number}'], self.now
         )
@@ -398,27 +401,29 @@
         self.cluster.cancel(f'j{number}', self.now)
 
     @invariant()
-    def nothing_is_over_its_capacity(self) -> None:
+    def no_worker_exceeds_its_capacity(self) -> None:
         for worker in self.cluster.workers.values():
             assert worker.used.fits(worker.entry.capacity)
 
     @invariant()
-    def each_task_is_in_one_place(self) -> None:
+    def each_task_is_placed_at_most_once(self) -> None:
         for job in self.cluster.jobs.values():
             for task in job.tasks.values():
-                holders = [
+                workers_with_task = [
                     worker.id
                     for worker in self.cluster.workers.values()
                     if task.id in worker.tasks
                 ]
                 placed = [task.worker] if task.phase.is_placed else []
-                assert holders == placed
-                waits = task.phase is TaskPhase.WAITING
-                released = self.cluster.are_predecessors_done(task)
-                assert (task.id in self.cluster.ready) == (waits and released)
+                assert workers_with_task == placed
+                is_waiting = task.phase is TaskPhase.WAITING
+                are_done = self.cluster.are_predecessors_done(task)
+                assert (task.id in self.cluster.ready) == (
+                    is_waiting and are_done
+                )
 
 
-PlacingMachine.TestCase.settings = settings(
+PlacementMachine.TestCase.settings = settings(
     max_examples=40, stateful_step_count=30, deadline=None, derandomize=True
 )
-TestPlacingMachine = PlacingMachine.TestCase
+TestPlacementMachine = PlacementMachine.TestCase
--- a/tests/test_task_placement_scale.py
+++ b/tests/test_task_placement_scale.py
@@ -1,4 +1,4 @@
-"""How much a pass over the queue looks at, on a large deployment."""
+"""Cost of a placement pass on a large deployment, in checks and refreshes."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 TASKS = 40
 
 
-def count_looks(cluster: ClusterState, monkeypatch: pytest.MonkeyPatch) -> int:
-    """Runs one pass; returns how often it asked whether a worker has room."""
+def count_checks(cluster: ClusterState, monkeypatch: pytest.MonkeyPatch) -> int:
+    """Runs one pass; returns how often it checked whether a task fits."""
     checks = record_checks(monkeypatch, 'can_start')
     run_pass(Placer(cluster, InterferenceModel()), 10.0)
     return len(checks)
@@ -38,58 +38,58 @@
     'step',
     [make_step(count=TASKS), make_step(count=TASKS, fills=True, image='f')],
 )
-def test_a_wide_step_looks_at_each_worker_once(
+def test_wide_step_checks_each_worker_once(
     step: StepSpec, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Asking all workers for each task of a step took an owner's processor."""
+    """Checking all workers for each task of a step took an owner's CPU time."""
     cluster = ClusterState()
     for number in range(WORKERS):
         add_worker(cluster, f'w-{number}')
     admit(cluster, make_job('a', step))
-    assert count_looks(cluster, monkeypatch) <= WORKERS + TASKS
+    assert count_checks(cluster, monkeypatch) <= WORKERS + TASKS
     placed = [t for t in cluster.jobs['a'].tasks.values() if t.worker]
     assert len(placed) == TASKS
 
 
-def _watch_renewals(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Returns a list that grows by each worker that is worked out anew."""
-    renewed: list[str] = []
-    renew = WorkerView.refresh
+def _record_refreshes(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """Returns a list that is extended by the id of each refreshed worker."""
+    refreshed: list[str] = []
+    refresh = WorkerView.refresh
 
-    def note(view: WorkerView, interference_model: InterferenceModel) -> None:
-        renewed.append(view.worker.id)
-        renew(view, interference_model)
+    def record(view: WorkerView, interference_model: InterferenceModel) -> None:
+        refreshed.append(view.worker.id)
+        refresh(view, interference_model)
 
-    monkeypatch.setattr(WorkerView, 'refresh', note)
-    return renewed
+    monkeypatch.setattr(WorkerView, 'refresh', record)
+    return refreshed
 
 
-def test_a_pass_works_out_only_the_workers_that_changed(
+def test_pass_refreshes_only_changed_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Working out all workers in each pass took a third of an owner's time."""
+    """Refreshing all workers in each pass took 1/3 of an owner's CPU time."""
     cluster = ClusterState()
     workers = [add_worker(cluster, f'w-{n}') for n in range(WORKERS)]
     admit(cluster, make_job('big', make_step(demand=Room(99.0, 1))))
-    renewed = _watch_renewals(monkeypatch)
+    refreshed = _record_refreshes(monkeypatch)
     placer = Placer(cluster, InterferenceModel())
     run_pass(placer, 10.0)
-    assert len(renewed) == WORKERS
-    renewed.clear()
+    assert len(refreshed) == WORKERS
+    refreshed.clear()
     for number in range(5):
         run_pass(placer, 10.01 + 0.01 * number)
-    assert renewed == []
+    assert refreshed == []
     Reconciler(cluster).reconcile(workers[3], make_report(), 10.06, 10.06)
     workers[5].entry = make_entry('w-5', capacity=Room(4.0, 16_000))
     run_pass(placer, 10.07)
-    assert renewed == ['w-3', 'w-5']
-    renewed.clear()
+    assert refreshed == ['w-3', 'w-5']
+    refreshed.clear()
     run_pass(placer, 10.11)
-    assert len(renewed) == WORKERS
+    assert len(refreshed) == WORKERS
 
 
-def test_room_that_becomes_free_is_used_by_the_next_pass() -> None:
-    """A task ends and another that waits for its room is started at once."""
+def test_released_resources_are_used_by_the_next_pass() -> None:
+    """A task that waits for the resources of another starts when that ends."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('a', make_step(count=2, demand=Room(8.0, 1000))))
@@ -97,5 +97,5 @@
     ((first, _),) = run_pass(placer, 10.0)
     assert run_pass(placer, 10.01) == []
     cluster.end_run(first, EndKind.DONE, 10.02)
-    ((second, there),) = run_pass(placer, 10.02)
-    assert (second is not first, there) == (True, worker)
+    ((second, worker_of_second),) = run_pass(placer, 10.02)
+    assert (second is not first, worker_of_second) == (True, worker)
