--- a/lentilmount/scheduling/reservations.py
+++ b/lentilmount/scheduling/reservations.py
@@ -78,7 +78,7 @@
         name = chosen.worker.id if chosen is not None else ''
         if name:
             log.info(
-                'Holding a worker for a lost task.',
+                'Holding a worker until an interrupted task fits there.',
                 extra={'task': str(task.id), 'worker': name},
             )
         self._reservations[task] = _Reservation(name, now + RESERVATION_SECONDS)
