--- a/lentilmount/scheduling/costs.py
+++ b/lentilmount/scheduling/costs.py
@@ -80,7 +80,7 @@
     interference_model: InterferenceModel
 
     def make_cost_function(self, task: Task) -> CostFunction:
-        """Returns the function that computes the cost of a task on a worker."""
+        """Returns a function from workers to the cost of a task there."""
         if task.spec.lasting:
             return self._make_long_running_cost(task)
         if task.spec.fills:
--- a/lentilmount/scheduling/headroom.py
+++ b/lentilmount/scheduling/headroom.py
@@ -34,7 +34,7 @@
 """Minimum time between two sums over all tasks, in seconds."""
 
 BURST_FACTOR = 1.3
-"""Headroom for urgent tasks relative to their mean demand: they arrive in
+"""Reserved cores relative to the mean demand of urgent tasks, which arrive in
 bursts."""
 
 
--- a/lentilmount/scheduling/ranking.py
+++ b/lentilmount/scheduling/ranking.py
@@ -30,7 +30,6 @@
 MAX_USEFUL_MULTIPLE = 3.0
 """Multiple of its objective after which a late job is of no use to the user."""
 
-
 URGENT_PRIORITY = 0
 """Queues of this priority go before all others."""
 
--- a/lentilmount/scheduling/reconciliation.py
+++ b/lentilmount/scheduling/reconciliation.py
@@ -23,7 +23,13 @@
 
 @attrs.frozen
 class StaleRun:
-    """A run that a worker reports and that must be stopped."""
+    """A run that a worker reports and that must be stopped.
+
+    Attributes:
+      worker: Id of the worker.
+      task: Formatted id of the task.
+      run: Run number.
+    """
 
     worker: str
     task: str
--- a/lentilmount/scheduling/reports.py
+++ b/lentilmount/scheduling/reports.py
@@ -76,7 +76,15 @@
 
 @attrs.frozen
 class EndReport:
-    """A run that a worker reports as ended."""
+    """A run that a worker reports as ended.
+
+    Attributes:
+      number: Number of the end, by which it is acknowledged.
+      task: Formatted id of the task.
+      run: Run number.
+      kind: How the run ended.
+      checkpoint: Newest checkpoint, or ''.
+    """
 
     number: int
     task: str
--- a/lentilmount/scheduling/takeover.py
+++ b/lentilmount/scheduling/takeover.py
@@ -57,7 +57,10 @@
         return self.expires_at - now if self.may_exist(now) else None
 
     def affects(self, task: Task) -> bool:
-        """Returns whether a task may have been started without a record."""
+        """Returns whether a task belongs to an inherited job.
+
+        Only such a task may have been started without a record.
+        """
         return task.id.job in self.jobs
 
 
--- a/lentilmount/scheduling/throttling.py
+++ b/lentilmount/scheduling/throttling.py
@@ -55,7 +55,7 @@
         }
         if not planned:
             return {}
-        serving_task = [
+        serving_tasks = [
             task
             for task in worker.tasks.values()
             if task.is_serving and task.usage is not None
@@ -63,21 +63,21 @@
         if any(
             self._interference_model.get_seconds_over_target(task, now)
             >= SUSPEND_AFTER_SECONDS
-            for task in serving_task
+            for task in serving_tasks
         ):
             return {
                 neighbour: 0 for neighbour in planned if neighbour.cpu_percent
             }
-        has_no_excess = True
-        for task in serving_task:
-            excess = self._predict_utilisation(task, planned)
-            if excess > THROTTLE_ABOVE:
-                has_no_excess = False
+        may_relax = True
+        for task in serving_tasks:
+            utilisation = self._predict_utilisation(task, planned)
+            if utilisation > THROTTLE_ABOVE:
+                may_relax = False
                 self._throttle_neighbours(
-                    task, excess - THROTTLE_TARGET, planned
+                    task, utilisation - THROTTLE_TARGET, planned
                 )
-        if has_no_excess:
-            self._relax_one(serving_task, planned)
+        if may_relax:
+            self._relax_one(serving_tasks, planned)
         return {t: p for t, p in planned.items() if p != t.cpu_percent}
 
     def _predict_utilisation(
@@ -94,11 +94,11 @@
         predicted = self._interference_model.predict(
             task, neighbours, THROTTLE_HORIZON_SECONDS
         )
-        now = min(
+        current = min(
             measure_utilisation(ratio),
             self._interference_model.predict(task, neighbours),
         )
-        return max(now, predicted)
+        return max(current, predicted)
 
     def _throttle_neighbours(
         self, serving_task: Task, excess: float, planned: dict[Task, int]
@@ -129,7 +129,7 @@
         return interference * measure_intensity(neighbour)
 
     def _relax_one(
-        self, serving_task: list[Task], planned: dict[Task, int]
+        self, serving_tasks: list[Task], planned: dict[Task, int]
     ) -> None:
         """Raises one throttled neighbour if every serving task allows it."""
         throttled = [t for t, percent in planned.items() if percent < 100]
@@ -143,7 +143,7 @@
                 < MIN_INTERFERENCE
                 or self._interference_model.predict(task, neighbours)
                 < RELAX_BELOW
-                for task in serving_task
+                for task in serving_tasks
             ):
                 planned[neighbour] = raised
                 return
