--- a/lentilmount/control/candidates.py
+++ b/lentilmount/control/candidates.py
@@ -1,9 +1,9 @@
-"""Which hosts should own a service: the larger ones, where sizes differ.
+"""Selects hosts to own a service: the larger ones, where sizes differ.
 
-Load pattern: one owner calls every worker of its service. On 245 workers that
-took up to 1.5 cores and more than 5 Mbit/s, so a host with a share of a core
-and a slow link is full, and every order comes seconds late, while larger hosts
-stand by.
+Load pattern: one owner calls every worker of its service. With 245 workers that
+took up to 1.5 cores and more than 5 Mbit/s, so a host with part of a core and a
+slow link is saturated and sends every command seconds late, while larger hosts
+are idle.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from lentilmount.platform.host_settings import Capacity
 
 LINK_PER_CORE = 10.0
-"""Mbit/s of link for each core of processor, as an owner uses both: one of 245
-workers sent 10 to 14 Mbit/s with 1.0 to 1.4 cores in its busiest seconds."""
+"""Link capacity in Mbit/s that an owner needs per core: one with 245 workers
+sent 10 to 14 Mbit/s with 1.0 to 1.4 cores in its busiest seconds."""
 
 LARGER_FACTOR = 1.5
 """Sizes that differ by less count as equal. A takeover costs about a second of
-starts, which a little more room would not repay."""
+starts, which a slightly larger host would not make up for."""
 
 
 def measure_size(capacity: Capacity) -> float:
-    """Returns how much work of an owner a host can carry, in cores."""
+    """Returns the size of a host for the work of an owner, in cores."""
     return min(capacity.cores, capacity.link_mbps / LINK_PER_CORE)
 
 
 def make_announcement(
     address: str, zone: str, capacity: Capacity
 ) -> dict[str, Any]:
-    """Returns the row by which a daemon tells the others of itself."""
+    """Returns the row by which a daemon announces itself to the others."""
     return {
         'address': address,
         'zone': zone,
@@ -46,18 +46,19 @@
     return {
         row['address']: Capacity(row['cores'], row['link_mbps'])
         for row in rows
-        # A daemon of an earlier version does not tell its capacity.
+        # A daemon of an earlier version does not announce its capacity.
         if 'cores' in row and 'link_mbps' in row
     }
 
 
 @attrs.define
 class Candidates:
-    """The daemons that may own a service, as far as they are known here.
+    """The daemons known to this one that may own a service.
 
     Attributes:
       own: Capacity of this host.
-      is_complete: Whether all that run have had time to announce themselves.
+      is_complete: Whether all running daemons have had time to announce
+        themselves.
     """
 
     own: Capacity
@@ -65,27 +66,29 @@
     _others: dict[str, Capacity] = attrs.Factory(dict)
 
     def update(self, others: Mapping[str, Capacity], is_complete: bool) -> None:
-        """Takes in what the other daemons have announced.
+        """Replaces the capacities that other daemons have announced.
 
         Args:
           others: Capacities by internal address.
-          is_complete: Whether all that run have had time to announce
+          is_complete: Whether all running daemons have had time to announce
             themselves.
         """
         self._others = dict(others)
         self.is_complete = self.is_complete or is_complete
 
     def list_larger(self) -> list[str]:
-        """Lists daemons on much larger hosts, the largest first."""
-        least = LARGER_FACTOR * measure_size(self.own)
+        """Lists the addresses of much larger hosts, the largest first."""
+        min_size = LARGER_FACTOR * measure_size(self.own)
         sizes = {
             address: measure_size(capacity)
             for address, capacity in self._others.items()
         }
-        larger = [address for address, size in sizes.items() if size >= least]
+        larger = [
+            address for address, size in sizes.items() if size >= min_size
+        ]
         return sorted(larger, key=lambda address: -sizes[address])
 
     @property
     def may_have_larger(self) -> bool:
-        """Whether a much larger host is known, or may not be known yet."""
+        """Whether a much larger host is known or may not be announced yet."""
         return not self.is_complete or bool(self.list_larger())
--- a/lentilmount/control/gauges.py
+++ b/lentilmount/control/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of what an owner has in hand."""
+"""Updates the gauges of an owner: tasks, workers and tail latency."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def refresh_gauges(cluster: ClusterState, metrics: ControlMetrics) -> None:
-    """Counts what waits, runs and serves."""
+    """Sets the gauges from the current state of tasks and workers."""
     waiting: collections.Counter[str] = collections.Counter()
     for task in cluster.ready.values():
         waiting[str(task.job.spec.queue.priority)] += 1
--- a/lentilmount/control/keys.py
+++ b/lentilmount/control/keys.py
@@ -1,7 +1,7 @@
-"""Where this system keeps its rows.
+"""Keys of the rows in the table service.
 
-All rows of a service share one part: a transaction cannot span parts, and an
-owner's writes must depend on its lease.
+All rows of a service share one partition: a transaction cannot span partitions,
+and the writes of an owner are conditional on its lease.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 DAEMONS_TABLE = 'daemons'
 
 CANCEL_SUFFIX = '~cancel'
-"""Key of a cancellation, after the job's; the owner's feed brings both."""
+"""Appended to a job's key for its cancellation, so that the owner's feed
+returns both."""
 
 
 def make_job_key(service: str, job_id: str) -> Key:
-    """Returns the key of a job as accepted."""
+    """Returns the key of an accepted job."""
     return Key(make_partition(JOBS_TABLE, service), job_id)
 
 
@@ -30,7 +31,7 @@
 
 
 def make_state_key(service: str, job_id: str) -> Key:
-    """Returns the key of what a job's owner writes."""
+    """Returns the key of a job's state, which its owner writes."""
     return Key(make_partition(STATES_TABLE, service), job_id)
 
 
@@ -40,15 +41,15 @@
 
 
 def make_counts_key(service: str) -> Key:
-    """Returns the key of the counts of waiting jobs."""
+    """Returns the key of the counts of pending jobs."""
     return Key(make_partition(COUNTS_TABLE, service), 'pending')
 
 
 def make_model_key(service: str) -> Key:
-    """Returns the key of what an owner has learned of interference."""
+    """Returns the key of an owner's interference model."""
     return Key(make_partition(COUNTS_TABLE, service), 'model')
 
 
 def make_daemon_key(name: str) -> Key:
-    """Returns the key of a daemon's internal address."""
+    """Returns the key of a daemon's announcement."""
     return Key(make_partition(DAEMONS_TABLE), name)
--- a/lentilmount/control/routes.py
+++ b/lentilmount/control/routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and how old it may be."""
+"""The configuration in force, its routes, and how old it may be."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 @attrs.frozen
 class _RouteIndex:
-    """Finds the route of a path without a look at each of them.
+    """Looks up the route of a path without testing each route.
 
     Attributes:
-      routes: By host and prefix.
-      lengths: Of a host's prefixes, the longest first.
+      routes: Routes by host and prefix.
+      lengths: Lengths of the prefixes of each host, in descending order.
     """
 
     routes: Mapping[tuple[str, str], Route]
     lengths: Mapping[str, Sequence[int]]
 
     def find(self, host: str, path: str) -> Route | None:
-        """Finds the route with the longest prefix of a path."""
+        """Returns the route with the longest prefix of a path, or None."""
         for length in self.lengths.get(host, ()):
             found = self.routes.get((host, path[:length]))
             if found is not None:
@@ -55,21 +55,21 @@
 
 
 class RouteTable:
-    """The newest configuration that is known.
+    """Holds the newest known configuration.
 
     Attributes:
-      current: The configuration, decoded.
+      current: The decoded configuration, or None before there is one.
       row: Its row in the store.
       position: Version of the store up to which changes are known.
-      changed: Set when another one comes into force.
+      changed: Set when another configuration comes into force.
 
     Args:
-      monotonic: The clock for durations.
-      apply_timeout: In which a change is to be in force.
-      outage_until: Tells up to when the store was surely away for all daemons.
-        Until then nobody was served by any routes; if they counted as outdated
-        as soon as the store is back, all daemons would refuse what they could
-        serve again.
+      monotonic: Clock for durations.
+      apply_timeout: Time within which a change must be in force.
+      outage_until: Returns the monotonic time until which the store was
+        unavailable to all daemons. No daemon served requests until then. If
+        that time counted, the routes would be outdated once the store is back,
+        and all daemons would refuse requests that they could serve again.
     """
 
     def __init__(
@@ -81,33 +81,33 @@
         self.current: RoutingConfiguration | None = None
         self.monotonic = monotonic
         self.apply_timeout = apply_timeout
-        self._away_until = outage_until
+        self._outage_until = outage_until
         self._index = _index(())
         self._confirmed_at = -math.inf
-        self._accepted = asyncio.Event()
+        self._updated = asyncio.Event()
         self.row: RawRow | None = None
         self.position = 0
         self.changed = asyncio.Event()
 
     @property
     def is_outdated(self) -> bool:
-        """Whether a newer one may have to be in force by now.
+        """Whether a newer configuration may already have to be in force.
 
-        A daemon that hears of no change goes on by the old routes: it accepts
-        jobs on a queue that is gone, and knows nothing of a new one. Callers
-        that are told so ask another daemon.
+        A daemon that receives no changes continues with the old routes: it
+        accepts jobs for a deleted queue and refuses those for a new one.
+        Callers that get an error instead ask another daemon.
         """
         return self.age > self.apply_timeout
 
     @property
     def age(self) -> float:
-        """Seconds since when a newer configuration may have been written."""
+        """Time in seconds since which a newer configuration may exist."""
         return self.monotonic() - self.as_of
 
     @property
     def as_of(self) -> float:
-        """Monotonic time since when a newer one may be in force elsewhere."""
-        return max(self._confirmed_at, self._away_until())
+        """Monotonic time since which a newer one may be in force elsewhere."""
+        return max(self._confirmed_at, self._outage_until())
 
     @property
     def version(self) -> int:
@@ -115,31 +115,31 @@
         return 0 if self.row is None else self.row.version
 
     def confirm(self, as_of: float, position: int | None = None) -> None:
-        """Notes that at a monotonic time there was none newer than is known.
+        """Records that at a monotonic time no newer configuration existed.
 
         Args:
-          as_of: The time.
-          position: The store's version then, if it is known.
+          as_of: Monotonic time in seconds.
+          position: Version of the store at that time, if known.
         """
         self._confirmed_at = max(self._confirmed_at, as_of)
         self.position = max(self.position, position or 0)
 
     def apply_row(self, row: RawRow, age: float = 0.0) -> None:
-        """Takes over a row if it is newer than what is in force.
+        """Puts a row in force if it is newer than the current one.
 
-        Answers of different calls overtake each other; without the check an
-        older one would bring back a route that was removed.
+        Answers of different calls can arrive out of order; without the check an
+        older one would bring back a deleted route.
 
         Args:
           row: The row.
-          age: Seconds since the call that told of it was sent.
+          age: Seconds since the call that returned it was sent.
         """
         if row.version <= self.version or row.removed:
             return
         try:
             decoded = decode_configuration(row.value)
         except InvalidError as error:
-            log.error('Row version {} is left out: {}', row.version, error)
+            log.error('Row version {} is ignored: {}', row.version, error)
             return
         log.info(
             'In force: configuration {}, {} routes.',
@@ -155,15 +155,15 @@
         self.current = decoded
         self._index = _index(decoded.routes)
         self.changed.set()
-        self._accepted.set()
-        self._accepted = asyncio.Event()
+        self._updated.set()
+        self._updated = asyncio.Event()
 
     async def wait_for_newer(self, version: int, seconds: float) -> None:
-        """Waits until a row newer than a version is in force, or in vain."""
+        """Waits for a row newer than a version, with a timeout."""
         if self.version <= version:
-            await wait_with_timeout(self._accepted, seconds)
+            await wait_with_timeout(self._updated, seconds)
 
     def find(self, host: str, path: str) -> tuple[Route, str] | None:
-        """Finds the queue of a request, and the rest of its path."""
-        best = self._index.find(host, path)
-        return None if best is None else (best, path[len(best.prefix) :])
+        """Returns the route of a request and the rest of its path, or None."""
+        route = self._index.find(host, path)
+        return None if route is None else (route, path[len(route.prefix) :])
--- a/lentilmount/control/submissions.py
+++ b/lentilmount/control/submissions.py
@@ -1,4 +1,4 @@
-"""Accepting, showing and cancelling jobs; any daemon can do each."""
+"""Accepts, shows and cancels jobs, on any daemon."""
 
 from __future__ import annotations
 
@@ -43,30 +43,32 @@
 log = logbook.Logger('submissions')
 
 COUNTS_SECONDS = 0.5
-"""How old counts of waiting jobs may be here; the owner's may be as old."""
+"""Longest age of cached counts of pending jobs; the counts that the owner
+writes may be as old."""
 
-RETRY_SECONDS = 1.0
-"""When a caller may try again after the store refused: it takes about that
-long until it answers again after a short outage."""
+CALLER_RETRY_SECONDS = 1.0
+"""Retry delay given to a caller after the store refused a call: about the time
+that the store takes to answer again after a short outage."""
 
 
-SEND_AGAIN_SECONDS = 0.3
-"""For how long a write whose answer was lost is sent again. A broken
-connection shows within ms; a call that only ran into its timeout is not worth
-another one: the caller has 3 s in all."""
+RETRY_WINDOW_SECONDS = 0.3
+"""Time during which a write whose answer was lost is retried. A broken
+connection shows within milliseconds; after a call that ran into its timeout
+another one does not fit into the caller's 3 s."""
 
-SEND_AGAIN_PAUSE_SECONDS = 0.02
+RETRY_PAUSE_SECONDS = 0.02
 
 
 @attrs.define
 class Submissions:
-    """Acts on the rows of jobs for clients.
+    """Reads and writes the rows of jobs for clients.
 
     Attributes:
-      table: Where the rows are.
+      table: Table with the rows of jobs.
       routes: The configuration in force.
-      clock: The clocks.
-      find_outage_detector: Tells whether the table answers for a service.
+      clock: Wall and monotonic clocks.
+      find_outage_detector: Returns the outage detector of the table for a
+        service.
     """
 
     table: Table
@@ -76,48 +78,54 @@
     _counts: dict[str, tuple[float, dict[str, int]]] = attrs.Factory(dict)
 
     def is_cut_off(self, route: Route) -> bool:
-        """Whether other daemons reach the table, and this one cannot."""
+        """Returns whether this daemon alone cannot reach the table."""
         return self.find_outage_detector(route.policy.service).is_cut_off()
 
     @contextlib.contextmanager
-    def _reach_store(self, route: Route) -> Iterator[None]:
-        """Guards calls about a queue's rows, and tells why they failed.
+    def _translate_store_errors(self, route: Route) -> Iterator[None]:
+        """Translates errors of calls about a queue's rows.
 
-        Refuses at once what would only wait for a table that is away.
+        Fails at once when the table is unavailable, instead of letting the call
+        wait.
 
         Raises:
-          StoreError: Nothing was done.
-          UnknownOutcomeError: It may have been done.
+          StoreError: Nothing was written.
+          UnknownOutcomeError: The write may have been carried out.
         """
         if self.find_outage_detector(route.policy.service).is_unreachable:
             raise StoreError(
-                'the table does not answer', retry_after=RETRY_SECONDS
+                'the table does not answer', retry_after=CALLER_RETRY_SECONDS
             )
         try:
             yield
         except RefusedError as error:
-            raise StoreError(str(error), retry_after=RETRY_SECONDS) from error
+            raise StoreError(
+                str(error), retry_after=CALLER_RETRY_SECONDS
+            ) from error
         except UnavailableError as error:
             raise UnknownOutcomeError(str(error)) from error
 
     async def submit(self, route: Route, job_id: str, body: bytes) -> None:
-        """Accepts a job, once, however often it is sent.
+        """Accepts a job; idempotent, however often the caller sends it.
 
         Raises:
-          InvalidError: The job is wrong.
-          StoreError: It was not accepted and never runs.
-          UnknownOutcomeError: It may have been accepted.
+          InvalidError: The job is not valid.
+          StoreError: The job was not accepted and never runs.
+          UnknownOutcomeError: The job may have been accepted.
         """
         policy = route.policy
         spec = decode_submission(job_id, body, policy, self.clock.wall())
         key = make_job_key(policy.service, job_id)
         put = Put(key, encode_job_row(spec), ABSENT)
         try:
-            with self._reach_store(route):
+            with self._translate_store_errors(route):
                 await self._write(put)
         except ConflictError:
-            # The row is there: an earlier copy of this request made it.
-            log.info('Known already.', extra={'job': job_id})
+            # An earlier copy of this request has created the row.
+            log.info(
+                'Known already; the job was accepted before.',
+                extra={'job': job_id},
+            )
             return
         log.info(
             'Accepted.',
@@ -129,40 +137,40 @@
         )
 
     async def _write(self, put: Put) -> None:
-        """Writes a row that must not be there yet, until its fate is known.
+        """Creates a row, retrying until the outcome is known or time runs out.
 
-        A caller whose answer the store lost would only send the same again,
-        later. Sent again from here the write takes effect, or finds the row.
+        A caller that gets no answer would only send the same job again later.
+        Retried here, the write either takes effect or finds the row.
 
         Raises:
-          ConflictError: The row is there.
+          ConflictError: The row exists.
           RefusedError: Nothing was written.
-          UnavailableError: It may be written, also later.
+          UnavailableError: The row may be written, also later.
         """
-        end = self.clock.monotonic() + SEND_AGAIN_SECONDS
-        unsure: UnavailableError | None = None
+        end = self.clock.monotonic() + RETRY_WINDOW_SECONDS
+        lost_answer: UnavailableError | None = None
         while True:
             try:
                 await self.table.transact(make_token(), [put])
                 return
             except RefusedError:
-                if unsure is not None:
-                    raise unsure from None
+                if lost_answer is not None:
+                    raise lost_answer from None
                 raise
             except UnavailableError as error:
                 if self.clock.monotonic() > end:
                     raise
-                unsure = error
-            await asyncio.sleep(SEND_AGAIN_PAUSE_SECONDS)
+                lost_answer = error
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     async def find_state(self, route: Route, job_id: str) -> JobState:
-        """Returns a job's state.
+        """Returns the state of a job.
 
         Raises:
           GoneError: There is no such job.
           UnknownOutcomeError: The store does not answer.
         """
-        with self._reach_store(route):
+        with self._translate_store_errors(route):
             for service in self._list_services(route):
                 state_key = make_state_key(service, job_id)
                 row = (await self.table.read([state_key])).get(state_key)
@@ -177,23 +185,23 @@
         return (await self.table.read([key])).get(key)
 
     def _list_services(self, route: Route) -> list[str]:
-        """Lists the services where a job may be, its queue's own first.
+        """Lists the services that may hold a job, its queue's own first.
 
-        A queue can be given another service while its jobs run.
+        A queue can be assigned to another service while its jobs run.
         """
-        own = route.policy.service
+        own_service = route.policy.service
         known = self.routes.current.services if self.routes.current else ()
-        return [own, *(name for name in known if name != own)]
+        return [own_service, *(name for name in known if name != own_service)]
 
     async def cancel(self, route: Route, job_id: str) -> None:
-        """Cancels a job; its owner stops what runs.
+        """Cancels a job; its owner stops the running tasks.
 
         Raises:
           GoneError: There is no such job.
-          StoreError: Nothing was done.
-          UnknownOutcomeError: It may have been cancelled.
+          StoreError: Nothing was written.
+          UnknownOutcomeError: The job may have been cancelled.
         """
-        with self._reach_store(route):
+        with self._translate_store_errors(route):
             for service in self._list_services(route):
                 if await self._find_job(service, job_id) is not None:
                     put = Put(make_cancel_key(service, job_id), {}, ABSENT)
@@ -204,7 +212,7 @@
         raise GoneError(f'there is no job {job_id}')
 
     async def count_pending(self, route: Route) -> int:
-        """Returns how many jobs of a queue have not started.
+        """Returns the number of jobs of a queue that have not started.
 
         Raises:
           UnknownOutcomeError: The store does not answer.
@@ -212,7 +220,7 @@
         service = route.policy.service
         read_at, counts = self._counts.get(service, (-COUNTS_SECONDS, {}))
         now = self.clock.monotonic()
-        with self._reach_store(route):
+        with self._translate_store_errors(route):
             if now - read_at >= COUNTS_SECONDS:
                 key = make_counts_key(service)
                 row = (await self.table.read([key])).get(key)
