--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Tickets of the advice service: when they are asked for, and for how long."""
+"""Requests and expiry of tickets of the advice service."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 @attrs.define
-class ToldCalls(AdviceClient):
-    """Answers as told.
+class FakeAdviceClient(AdviceClient):
+    """Allows a fixed set of workers, without an advice service.
 
     Attributes:
-      eligible: Workers that may run any step.
-      is_down: Whether there is no answer.
-      asked: The workers named in each call.
+      eligible: Ids of the workers that may run any step.
+      is_down: Whether calls get no answer.
+      asked: Worker ids named in each call.
     """
 
     eligible: set[str] = attrs.Factory(set)
@@ -45,29 +45,31 @@
         self.asked.append(workers)
         if self.is_down:
             return None
-        told = {name: f'{step}/{name}' for name in workers}
-        may = {name: told[name] for name in workers if name in self.eligible}
-        return Tickets(may, VALID_SECONDS)
+        tickets = {name: f'{step}/{name}' for name in workers}
+        allowed = {
+            name: tickets[name] for name in workers if name in self.eligible
+        }
+        return Tickets(allowed, VALID_SECONDS)
 
 
 @attrs.define
-class AdviceScene:
-    """A queue that needs advice."""
+class AdviceFixture:
+    """Cluster state, clock and advice service for a queue that needs advice."""
 
     clock: ManualClock = attrs.Factory(ManualClock)
     cluster: ClusterState = attrs.Factory(ClusterState)
-    calls: ToldCalls = attrs.field(
-        factory=lambda: ToldCalls(HttpClient(''), 1.0)
+    client: FakeAdviceClient = attrs.field(
+        factory=lambda: FakeAdviceClient(HttpClient(''), 1.0)
     )
-    woken: list[bool] = attrs.Factory(list)
+    wake_calls: list[bool] = attrs.Factory(list)
 
     def make_advice(self) -> Advice:
-        """Builds what keeps the tickets."""
+        """Creates the ticket cache under test."""
         return Advice(
             self.cluster,
-            self.calls,
+            self.client,
             self.clock.monotonic,
-            lambda: self.woken.append(True),
+            lambda: self.wake_calls.append(True),
         )
 
     def add(self, name: str) -> Worker:
@@ -75,87 +77,89 @@
         return add_worker(self.cluster, name)
 
     def admit(self, job_id: str) -> Task:
-        """Admits a job of the queue."""
+        """Admits a job of the advised queue; returns its task."""
         admit(self.cluster, make_job(job_id, policy=ADVISED))
         return find_task(self.cluster, job_id)
 
 
-async def run_for_a_moment(advice: Advice, rounds: int = 3) -> None:
-    """Lets it ask a few times."""
+async def run_briefly(advice: Advice, pauses: int = 3) -> None:
+    """Runs the ticket cache long enough for a few calls."""
     asking = asyncio.create_task(advice.run())
-    for _ in range(rounds):
+    for _ in range(pauses):
         await asyncio.sleep(0.03)
     asking.cancel()
     await asyncio.gather(asking, return_exceptions=True)
 
 
-def test_a_task_goes_only_where_it_may() -> None:
-    """A worker that the advice rules out got the task."""
-    scene = AdviceScene()
-    scene.calls.eligible = {'may'}
-    may, other = scene.add('may'), scene.add('other')
-    task = scene.admit('a')
-    advice = scene.make_advice()
-    assert not advice.allows(task, may)
-    run(run_for_a_moment(advice))
-    assert advice.get_ticket(task, may) == 'a.0.0/may'
-    assert advice.allows(task, may)
+def test_a_task_is_placed_only_on_allowed_workers() -> None:
+    """A task was placed on a worker that the advice service excludes."""
+    fixture = AdviceFixture()
+    fixture.client.eligible = {'may'}
+    allowed, other = fixture.add('may'), fixture.add('other')
+    task = fixture.admit('a')
+    advice = fixture.make_advice()
+    assert not advice.allows(task, allowed)
+    run(run_briefly(advice))
+    assert advice.get_ticket(task, allowed) == 'a.0.0/may'
+    assert advice.allows(task, allowed)
     assert not advice.allows(task, other)
-    assert scene.woken
-    assert len(scene.calls.asked) == 1
-    scene.clock.advance(VALID_SECONDS)
-    run(run_for_a_moment(advice))
-    assert scene.calls.asked[1:] == [['may']]
-
-
-def test_a_ticket_ends_with_its_time_and_with_the_worker() -> None:
-    """A start with a ticket that is no longer valid is rejected."""
-    scene = AdviceScene()
-    scene.calls.eligible = {'w'}
-    worker = scene.add('w')
-    task = scene.admit('a')
-    advice = scene.make_advice()
-    run(run_for_a_moment(advice))
-    scene.cluster.register_worker(make_entry('w', started_ms=2))
+    assert fixture.wake_calls
+    assert len(fixture.client.asked) == 1
+    fixture.clock.advance(VALID_SECONDS)
+    run(run_briefly(advice))
+    assert fixture.client.asked[1:] == [['may']]
+
+
+def test_a_ticket_expires_and_is_valid_for_one_incarnation() -> None:
+    """Workers reject a start with a ticket that is no longer valid."""
+    fixture = AdviceFixture()
+    fixture.client.eligible = {'w'}
+    worker = fixture.add('w')
+    task = fixture.admit('a')
+    advice = fixture.make_advice()
+    run(run_briefly(advice))
+    fixture.cluster.register_worker(make_entry('w', started_ms=2))
     assert not advice.allows(task, worker)
-    scene.cluster.register_worker(make_entry('w', started_ms=1))
+    fixture.cluster.register_worker(make_entry('w', started_ms=1))
     assert advice.allows(task, worker)
-    scene.clock.advance(VALID_SECONDS - 0.1)
+    fixture.clock.advance(VALID_SECONDS - 0.1)
     assert not advice.allows(task, worker)
 
 
-def test_few_workers_are_named_at_a_time() -> None:
-    """None of the workers asked first may run the step: others are asked."""
-    scene = AdviceScene()
+def test_few_workers_are_named_in_a_call() -> None:
+    """If no worker of a call may run the step, others are asked next."""
+    fixture = AdviceFixture()
     names = [f'w{number:02}' for number in range(2 * WORKERS_PER_CALL)]
     for name in names:
-        scene.add(name)
-    scene.calls.eligible = {names[-1]}
-    task = scene.admit('a')
-    advice = scene.make_advice()
-    run(run_for_a_moment(advice))
-    assert [len(asked) for asked in scene.calls.asked] == [WORKERS_PER_CALL] * 2
-    assert advice.allows(task, scene.cluster.workers[names[-1]])
-
-
-def test_a_lost_service_stops_only_the_queues_that_need_it() -> None:
-    scene = AdviceScene()
-    scene.calls.is_down = True
-    worker = scene.add('w')
-    task = scene.admit('a')
-    admit(scene.cluster, make_job('free'))
-    advice = scene.make_advice()
-    run(run_for_a_moment(advice))
+        fixture.add(name)
+    fixture.client.eligible = {names[-1]}
+    task = fixture.admit('a')
+    advice = fixture.make_advice()
+    run(run_briefly(advice))
+    assert [len(asked) for asked in fixture.client.asked] == [
+        WORKERS_PER_CALL
+    ] * 2
+    assert advice.allows(task, fixture.cluster.workers[names[-1]])
+
+
+def test_an_unavailable_advice_service_blocks_only_advised_queues() -> None:
+    fixture = AdviceFixture()
+    fixture.client.is_down = True
+    worker = fixture.add('w')
+    task = fixture.admit('a')
+    admit(fixture.cluster, make_job('free'))
+    advice = fixture.make_advice()
+    run(run_briefly(advice))
     assert not advice.allows(task, worker)
-    assert advice.allows(find_task(scene.cluster, 'free'), worker)
+    assert advice.allows(find_task(fixture.cluster, 'free'), worker)
 
 
-def test_what_is_over_is_forgotten() -> None:
-    scene = AdviceScene()
-    scene.calls.eligible = {'w'}
-    worker = scene.add('w')
-    task = scene.admit('a')
-    advice = scene.make_advice()
-    run(run_for_a_moment(advice))
+def test_tickets_of_a_finished_job_are_removed() -> None:
+    fixture = AdviceFixture()
+    fixture.client.eligible = {'w'}
+    worker = fixture.add('w')
+    task = fixture.admit('a')
+    advice = fixture.make_advice()
+    run(run_briefly(advice))
     advice.forget('a')
     assert not advice.allows(task, worker)
--- a/tests/test_handover_to_larger_host.py
+++ b/tests/test_handover_to_larger_host.py
@@ -1,4 +1,4 @@
-"""A service is handed over to a larger host, and what may go wrong there."""
+"""Handover of a service to a larger host, and its failures."""
 
 from __future__ import annotations
 
@@ -42,28 +42,29 @@
 SMALL_HOST = Capacity(0.5, 5.0)
 LARGE_HOST = Capacity(2.1, 100.0)
 
-AWAY_SECONDS = 30.0
-"""Without a bound on handovers a task was still away after so long."""
+RESTART_TIMEOUT_SECONDS = 30.0
+"""Without a bound on handovers a task was still not restarted after this."""
 
 OBSERVED_SECONDS = 8.5
-"""Longer than the others are read (4 s) and an owner is left at work (3 s)."""
+"""Longer than the interval between reads of the other daemons (4 s) and the
+shortest tenure (3 s) together."""
 
 
-def test_an_owner_works_before_it_hands_over(
+def test_an_owner_places_tasks_before_it_hands_over(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A small owner handed over before it had placed anything, each time."""
+    """A small owner handed over before its first placement pass."""
     monkeypatch.setattr(elections, 'MIN_TENURE_SECONDS', 0.3)
     monkeypatch.setattr(elections, 'LARGER_HOST_HEAD_START_SECONDS', 0.1)
     monkeypatch.setattr(elections, 'LARGER_POLL_SECONDS', 0.05)
     monkeypatch.setattr(dispatcher, 'FIRST_POLL_TIMEOUT_SECONDS', 0.05)
     passes: list[float] = []
 
-    def note(*args: object) -> list[object]:
+    def record_pass(*args: object) -> list[object]:
         passes.append(time.monotonic())
         return []
 
-    monkeypatch.setattr(Placer, 'place', note)
+    monkeypatch.setattr(Placer, 'place', record_pass)
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -88,15 +89,15 @@
     assert passes
 
 
-def test_a_daemon_that_never_heard_the_store_is_no_heir() -> None:
+def test_a_daemon_that_never_reached_the_store_is_no_successor() -> None:
     """A service was handed to a host that had not reached the store."""
 
     async def play() -> bool:
         watch = StoreHealth(SystemClock().monotonic, SERVICE)
         caller = HttpClient('')
-        silent = OutageDetector(watch, caller, PeerList('b'))
+        peer_detector = OutageDetector(watch, caller, PeerList('b'))
         application = make_peer_api(
-            lambda part: silent,
+            lambda part: peer_detector,
             cast(PlatformTable, None),
             RouteTable(watch.monotonic, 2.0),
         )
@@ -104,10 +105,10 @@
         server = HTTPServer(application)
         server.add_sockets(sockets)
         own = StoreHealth(SystemClock().monotonic, SERVICE)
-        asking = OutageDetector(own, caller, PeerList('a'))
+        own_detector = OutageDetector(own, caller, PeerList('a'))
         try:
             port = sockets[0].getsockname()[1]
-            return await asking.may_own(f'127.0.0.1:{port}')
+            return await own_detector.may_own(f'127.0.0.1:{port}')
         finally:
             server.stop()
             caller.close()
@@ -115,7 +116,7 @@
     assert not run(play())
 
 
-def test_a_host_is_not_outranked_by_its_own_address(
+def test_a_host_does_not_hand_over_to_its_own_address(
     tmp_path: pathlib.Path,
 ) -> None:
     """A host handed its service over to itself every few seconds."""
@@ -141,7 +142,7 @@
 
 
 def add_larger_host(platform: PlatformFixture) -> None:
-    """Adds a daemon that hears the store and never takes a lease."""
+    """Adds a daemon that reaches the store and never acquires a lease."""
     watch = StoreHealth(SystemClock().monotonic, 'desk')
     watch.record(True)
     outage = OutageDetector(watch, HttpClient(''), PeerList('b'))
@@ -163,10 +164,10 @@
     platform.store.write(('daemons', '', 'host-9'), orjson.dumps(['old', body]))
 
 
-def test_a_task_that_lasts_comes_back_while_its_service_changes_hands(
+def test_a_long_running_task_is_restarted_across_handovers(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Each new owner waited anew for a lost worker's leases."""
+    """Each new owner waited for the full leases of a lost worker."""
 
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
@@ -177,16 +178,16 @@
             await wait_for_line(platform, small, 'Taken: desk.')
             await platform.submit(small, FIRST, 'long', longRunning=True)
             await platform.wait_for_state(small, FIRST, 'running')
-            gone = next(w for w in platform.fleet.workers if w.running)
-            gone.silent = True
-            gone.running.clear()
+            lost = next(w for w in platform.fleet.workers if w.running)
+            lost.silent = True
+            lost.running.clear()
 
-            async def is_back() -> bool:
-                others = [w for w in platform.fleet.workers if w is not gone]
+            async def is_restarted() -> bool:
+                others = [w for w in platform.fleet.workers if w is not lost]
                 return any(worker.running for worker in others)
 
-            async with asyncio.timeout(AWAY_SECONDS):
-                while not await is_back():
+            async with asyncio.timeout(RESTART_TIMEOUT_SECONDS):
+                while not await is_restarted():
                     await asyncio.sleep(0.05)
 
     run(play())
--- a/tests/test_inherited_leases.py
+++ b/tests/test_inherited_leases.py
@@ -1,4 +1,4 @@
-"""What a service's owners tell each other when they give it up."""
+"""Worker leases that a released service records for its next owner."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 JOB = '0123456789abcdef'
 TENURE_SECONDS = 3.5
-"""Half of what a new owner waits for a worker that it cannot reach."""
+"""Half of the time that a new owner waits for an unreachable worker."""
 
 DAEMONS = 4
 
 
 def find_owner(daemons: list[Daemon]) -> tuple[int, Daemon]:
-    """Returns the newest epoch and the daemon that has it."""
+    """Returns the highest epoch and the daemon that has it."""
     taken = [
         (line['epoch'], index)
         for index, daemon in enumerate(daemons)
@@ -48,7 +48,7 @@
 
 
 async def hand_over(platform: PlatformFixture, daemons: list[Daemon]) -> None:
-    """Stops the owner's daemon as planned and waits for the next owner."""
+    """Stops the owner's daemon gracefully and waits for the next owner."""
     epoch, owner = find_owner(daemons)
     owner.process.send_signal(signal.SIGTERM)
 
@@ -58,10 +58,10 @@
     await platform.wait_for(is_taken)
 
 
-def test_owners_in_turn_do_not_keep_what_a_gone_worker_ran(
+def test_successive_handovers_do_not_extend_leases_of_a_lost_worker(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Owners stopped in turn each waited anew for a lost worker's leases."""
+    """Each of several owners waited for the full leases of a lost worker."""
 
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
@@ -86,41 +86,41 @@
     run(play())
 
 
-def make_placed(
-    reachable: bool, lapses_at: float
+def make_cluster_with_task(
+    reachable: bool, leases_expire_at: float
 ) -> tuple[ClusterState, Worker]:
-    """Returns a book with a task on a worker."""
+    """Returns a cluster state with a task on a worker, and the worker."""
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('job'))
     run_task(cluster, find_task(cluster, 'job'), worker)
     worker.reachable = reachable
-    worker.leases_expire_at = lapses_at
+    worker.leases_expire_at = leases_expire_at
     return cluster, worker
 
 
 @pytest.mark.parametrize('reachable', [True, False])
-def test_leases_are_told_whether_or_not_their_worker_was_missed(
+def test_leases_are_recorded_whether_or_not_their_worker_answers(
     reachable: bool,
 ) -> None:
-    """A worker lost just before a handover kept its tasks for a lease more."""
-    assert list_lease_seconds(make_placed(reachable, 15.0)[0], 12.0) == {
-        'w': 3.0
-    }
-    assert list_lease_seconds(make_placed(reachable, 15.0)[0], 16.0) == {
-        'w': 0.0
-    }
+    """A worker lost just before a handover kept tasks for a lease more."""
+    assert list_lease_seconds(
+        make_cluster_with_task(reachable, 15.0)[0], 12.0
+    ) == {'w': 3.0}
+    assert list_lease_seconds(
+        make_cluster_with_task(reachable, 15.0)[0], 16.0
+    ) == {'w': 0.0}
 
 
-def test_unknown_leases_are_not_told_as_over() -> None:
-    """What a worker was found to run may have a lease of an earlier owner."""
-    assert list_lease_seconds(make_placed(True, 0.0)[0], 12.0) == {}
+def test_unknown_leases_are_not_recorded_as_expired() -> None:
+    """A task found on a worker may have a lease of an earlier owner."""
+    assert list_lease_seconds(make_cluster_with_task(True, 0.0)[0], 12.0) == {}
 
 
-def test_a_renewal_on_its_way_is_told() -> None:
-    """A worker that carries it out late runs on for the whole lease."""
+def test_a_renewal_in_flight_is_recorded() -> None:
+    """A worker that applies a renewal late keeps running for a full lease."""
     clock = ManualClock()
-    cluster, worker = make_placed(True, 0.0)
+    cluster, worker = make_cluster_with_task(True, 0.0)
     calls = WorkerClient(HttpClient(''), 1, 1.0)
     session = WorkerSession(
         worker,
@@ -134,12 +134,12 @@
     session.choose_lease_end()
     clock.advance(2.0)
     session.choose_lease_end()
-    told = list_lease_seconds(cluster, clock.monotonic())
-    assert told['w'] >= LEASE_SECONDS
+    recorded = list_lease_seconds(cluster, clock.monotonic())
+    assert recorded['w'] >= LEASE_SECONDS
 
 
-def test_what_was_told_only_shortens_the_wait_for_a_worker_not_heard() -> None:
-    cluster, worker = make_placed(False, 15.0)
+def test_recorded_seconds_only_shorten_leases_of_workers_not_polled() -> None:
+    cluster, worker = make_cluster_with_task(False, 15.0)
     worker.has_answered = False
     apply_lease_seconds(cluster, {'w': 3.0, 'other': 1.0}, 0.1, 10.0)
     assert worker.leases_expire_at == 10.0 + 3.0 * 1.1
--- a/tests/test_job_loader.py
+++ b/tests/test_job_loader.py
@@ -1,4 +1,4 @@
-"""What an owner reads of its jobs."""
+"""Loading and following the jobs of a service."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def submit(table: PlatformTable, service: str, job_id: str) -> None:
-    """Writes a job as a daemon does that accepts it."""
+    """Writes the row of a job as the accepting daemon does."""
     put = Put(
         make_job_key(service, job_id), encode_job_row(make_job(job_id)), ABSENT
     )
@@ -29,12 +29,12 @@
 
 
 async def cancel(table: PlatformTable, service: str, job_id: str) -> None:
-    """Writes a cancellation."""
+    """Writes the row of a cancellation."""
     put = Put(make_cancel_key(service, job_id), {}, ABSENT)
     await table.transact(make_token(), [put])
 
 
-def test_an_owner_takes_in_the_jobs_of_its_own_service_only() -> None:
+def test_an_owner_loads_only_jobs_of_its_own_service() -> None:
     """A job admitted by the owners of two services ran twice."""
 
     async def play() -> None:
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -1,4 +1,4 @@
-"""Owners that are killed or freeze, and what is known of leases after them."""
+"""Worker leases after an owner was killed or frozen."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     JOB,
     TENURE_SECONDS,
     find_owner,
-    make_placed,
+    make_cluster_with_task,
 )
 from tests.test_service_release import HOST, OWNER_ROW
 from tests.test_worker_session import IgnoringListener
@@ -54,20 +54,21 @@
 WORKER_LEASE_SECONDS = 6.0
 
 LONGEST_WAIT_SECONDS = 7.5
-"""For leases of an owner that is gone: a worker's lease by its slowest clock,
-the second for which the owner may have renewed it, and calls on their way."""
+"""Longest wait for the leases of a lost owner: a worker's lease by the slowest
+clock, the second during which the owner may have renewed it, and calls in
+flight."""
 
 TAKEOVER_SECONDS = LEASE_SECONDS + 2 * POLL_SECONDS
-"""Without an owner after each kill."""
+"""Longest time without an owner after each kill."""
 
 OWNERLESS_SECONDS = (DAEMONS - 1) * TAKEOVER_SECONDS
-"""The longest that the three kills of a test leave nobody to act."""
+"""Longest time without an owner after the three kills of a test."""
 
 FREEZE_SECONDS = 8.0
 
 
 def wake(daemon: Daemon) -> None:
-    """Lets a frozen daemon go on, unless it was ended meanwhile."""
+    """Resumes a frozen daemon, unless it has ended."""
     with contextlib.suppress(ProcessLookupError):
         daemon.process.send_signal(signal.SIGCONT)
 
@@ -89,10 +90,10 @@
 
 @pytest.mark.parametrize('how', [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize('moment', [0.0, 1.0, TENURE_SECONDS])
-def test_owners_that_fail_in_turn_do_not_keep_what_a_gone_worker_ran(
+def test_successive_failed_owners_do_not_extend_leases_of_a_lost_worker(
     tmp_path: pathlib.Path, how: signal.Signals, moment: float
 ) -> None:
-    """Each owner that was not stopped as planned made the next wait anew."""
+    """After each killed owner the next one waited for full worker leases."""
 
     async def play() -> tuple[float, int]:
         async with open_platform(tmp_path) as platform:
@@ -108,18 +109,18 @@
             lost.silent = True
             began = time.monotonic()
 
-            async def is_back() -> bool:
+            async def is_restarted() -> bool:
                 return len(platform.fleet.list_starts()) > 1
 
             pause = moment
             for _ in range(DAEMONS - 1):
                 await asyncio.sleep(pause)
-                if await is_back():
+                if await is_restarted():
                     break
                 await end_owner(platform, daemons, how)
                 pause = TENURE_SECONDS
             async with asyncio.timeout(WAIT_SECONDS):
-                await platform.wait_for(is_back)
+                await platform.wait_for(is_restarted)
             took = time.monotonic() - began
             await asyncio.sleep(1.0)
             return took, len(platform.fleet.list_starts())
@@ -129,8 +130,8 @@
     assert took < moment + LONGEST_WAIT_SECONDS + OWNERLESS_SECONDS
 
 
-class _LostCalls(WorkerClient):
-    """Calls of which none is answered."""
+class _UnansweredClient(WorkerClient):
+    """Client for workers whose polls are never answered."""
 
     def __init__(self) -> None:
         super().__init__(HttpClient(''), 1, 1.0)
@@ -140,9 +141,9 @@
         return CallStatus.UNKNOWN
 
 
-def test_only_workers_that_missed_a_look_are_told_as_silent() -> None:
-    """A worker not asked yet may hold any lease of the owner before."""
-    cluster, worker = make_placed(False, 15.0)
+def test_only_workers_that_missed_a_poll_are_recorded_as_unreachable() -> None:
+    """A worker not polled yet may hold any lease of the previous owner."""
+    cluster, worker = make_cluster_with_task(False, 15.0)
     assert list_unreachable_lease_seconds(cluster, 12.0) == {}
     worker.has_missed_poll = True
     assert list_unreachable_lease_seconds(cluster, 12.0) == {'w': 3.0}
@@ -150,66 +151,75 @@
     assert list_unreachable_lease_seconds(cluster, 12.0) == {}
 
 
-def test_a_worker_told_as_silent_gets_no_lease_before_it_is_told_anew() -> None:
-    """The next owner would start tasks that still ran under a renewed lease."""
+def test_a_worker_recorded_as_unreachable_gets_no_lease() -> None:
+    """The next owner would start tasks that run under a renewed lease."""
     clock = ManualClock()
-    cluster, worker = make_placed(True, 0.0)
+    cluster, worker = make_cluster_with_task(True, 0.0)
     session = WorkerSession(
         worker,
         cluster,
-        _LostCalls(),
+        _UnansweredClient(),
         IgnoringListener(),
         WORKER_LEASE_SECONDS,
         clock.monotonic,
     )
     session.update_clock(1000)
     end = session.choose_lease_end()
-    told = list_lease_seconds(cluster, clock.monotonic())
+    recorded = list_lease_seconds(cluster, clock.monotonic())
     worker.is_reported_unreachable = True
     clock.advance(1.0)
     assert session.choose_lease_end() == end
     assert session.choose_start_deadline() == end
     assert (
-        list_lease_seconds(cluster, clock.monotonic())['w'] <= told['w'] - 1.0
+        list_lease_seconds(cluster, clock.monotonic())['w']
+        <= recorded['w'] - 1.0
     )
     assert not is_open(worker, clock.monotonic())
     worker.is_reported_unreachable = False
     assert session.choose_lease_end() > end
 
 
-def test_what_was_told_counts_from_when_its_row_was_seen() -> None:
-    """Each takeover added the time for which nobody owned the service."""
-    told = InheritedLeases({'w': 5.0}, at=10.0)
-    left = told.list_remaining(CLOCK_DRIFT, 12.0)
-    assert left == {'w': pytest.approx(5.0 * (1 + CLOCK_DRIFT) - 2.0)}
-    assert told.list_remaining(CLOCK_DRIFT, 20.0) == {'w': 0.0}
+def test_recorded_seconds_count_from_when_the_row_was_seen() -> None:
+    """Each takeover added the time without an owner to the wait."""
+    recorded = InheritedLeases({'w': 5.0}, at=10.0)
+    remaining = recorded.list_remaining(CLOCK_DRIFT, 12.0)
+    assert remaining == {'w': pytest.approx(5.0 * (1 + CLOCK_DRIFT) - 2.0)}
+    assert recorded.list_remaining(CLOCK_DRIFT, 20.0) == {'w': 0.0}
 
 
-def test_what_an_earlier_owner_told_is_not_believed() -> None:
-    """An owner since then has renewed leases and told nothing."""
+def test_lease_seconds_of_an_earlier_epoch_are_ignored() -> None:
+    """A later owner has renewed the leases without recording it."""
     data = LeaseData(remaining={'w': 3.0}).encode(4)
     assert decode_lease_data(data, 4).remaining == {'w': 3.0}
     assert decode_lease_data(data, 5).remaining == {}
     assert REMAINING not in LeaseData().encode(4)
 
 
-def test_an_owner_in_doubt_tells_for_how_long() -> None:
-    """An owner replaced while in doubt left a task that could run twice."""
-    cluster, worker = make_placed(False, 15.0)
+def test_an_owner_records_how_long_unrecorded_starts_may_run() -> None:
+    """A second takeover lost the note on unrecorded starts; tasks ran twice."""
+    cluster, worker = make_cluster_with_task(False, 15.0)
     worker.has_answered = False
-    doubt = UnrecordedStarts(cluster, False, 17.0, frozenset({'job'}))
-    told = decode_lease_data(make_lease_data(cluster, doubt, False, 12.0).encode(4), 4)
-    assert told.has_unrecorded_starts
-    assert told.unrecorded_seconds == 5.0
-    own = decode_lease_data(make_lease_data(cluster, doubt, True, 12.0).encode(4), 4)
+    unrecorded_starts = UnrecordedStarts(
+        cluster, False, 17.0, frozenset({'job'})
+    )
+    recorded = decode_lease_data(
+        make_lease_data(cluster, unrecorded_starts, False, 12.0).encode(4), 4
+    )
+    assert recorded.has_unrecorded_starts
+    assert recorded.unrecorded_seconds == 5.0
+    own = decode_lease_data(
+        make_lease_data(cluster, unrecorded_starts, True, 12.0).encode(4), 4
+    )
     assert own.has_unrecorded_starts
     assert own.unrecorded_seconds is None
     worker.has_answered = True
-    assert not make_lease_data(cluster, doubt, False, 12.0).has_unrecorded_starts
+    assert not make_lease_data(
+        cluster, unrecorded_starts, False, 12.0
+    ).has_unrecorded_starts
 
 
-def test_a_lease_of_which_no_write_was_seen_is_taken_in_doubt() -> None:
-    """The first write of a new owner told that all was written."""
+def test_a_lease_without_an_observed_write_may_have_unrecorded_starts() -> None:
+    """A new owner's first write declared all starts as recorded."""
 
     async def play() -> dict[str, Any]:
         async with contextlib.AsyncExitStack() as stack:
@@ -232,6 +242,6 @@
     assert run(play())['data']['unwritten'] is True
 
 
-def test_leases_are_told_as_no_shorter_than_they_are() -> None:
+def test_recorded_lease_seconds_are_rounded_up() -> None:
     data = LeaseData(remaining={'w': 3.001}).encode(4)
     assert decode_lease_data(data, 4).remaining['w'] >= 3.001
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Which host owns a service, where hosts differ in size."""
+"""Choice of the owner where hosts differ in size."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def test_a_small_host_hands_a_service_over_to_a_larger_one(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Orders went through the full link of a small owner, seconds late."""
+    """Commands of a small owner were late on its saturated link."""
 
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
@@ -60,10 +60,10 @@
         (SMALL_HOST, LARGE_HOST, True),
         (LARGE_HOST, SMALL_HOST, False),
         (SMALL_HOST, SMALL_HOST, False),
-        # The link binds, however fast the processor is.
+        # The link is the limit, however fast the processor is.
         (Capacity(2.1, 5.0), LARGE_HOST, True),
         (SMALL_HOST, Capacity(2.1, 5.0), False),
-        # A little more is not worth a takeover.
+        # A slightly larger host is not worth a takeover.
         (Capacity(1.0, 100.0), Capacity(1.4, 100.0), False),
     ],
 )
@@ -86,8 +86,8 @@
     assert not candidates.may_have_larger
 
 
-def test_a_deferred_lease_is_left_to_others_for_a_while_only() -> None:
-    """A free lease that small hosts left to larger ones was taken by nobody."""
+def test_a_free_lease_is_deferred_for_a_limited_time() -> None:
+    """A free lease that small hosts deferred was taken by no host."""
 
     async def check() -> None:
         table, clock = MemoryTable(), ManualClock()
@@ -110,8 +110,8 @@
     run(check())
 
 
-def test_a_small_host_leaves_the_lease_of_its_own_dead_process() -> None:
-    """After a kill of all, the service was on the small host again."""
+def test_a_small_host_defers_the_lease_of_its_ended_process() -> None:
+    """After a kill of all daemons a small host owned the service again."""
 
     async def check() -> None:
         table, clock = MemoryTable(), ManualClock()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Reading the list of workers."""
+"""Polling the list of registered workers."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 from tests.helpers import run
 
 ENTRY_BYTES = 430
-"""What an entry takes in an answer, as measured."""
+"""Size of an entry in an answer."""
 
 SLOWEST_LINK_BYTES = 625_000
-"""Bytes in a second on a link of 5 Mbit/s, the slowest of any host."""
+"""Bytes per second of a 5 Mbit/s link, the slowest of any host."""
 
 DRAIN_SECONDS = 2.0
-"""For how long a leaving worker may be given work after it said so."""
+"""Time during which a draining worker may be given work."""
 
 ORDER_SECONDS = 0.3
-"""From the choice of a worker until it has the order: the row, the call."""
+"""Time from choosing a worker to its receiving the command: the write and the
+call."""
 
 
 @pytest.mark.parametrize('workers', [1, 34, 100])
@@ -34,27 +35,27 @@
 
 
 @pytest.mark.parametrize('workers', [200, 245, 300])
-def test_a_long_list_leaves_the_link_to_orders(workers: int) -> None:
-    """The list of workers took half of the smallest link."""
+def test_a_long_list_leaves_link_capacity_for_commands(workers: int) -> None:
+    """Polling the list of workers used half of the slowest link."""
     spent = workers * ENTRY_BYTES / choose_pause(workers)
     assert spent < SLOWEST_LINK_BYTES / 3.5
 
 
 @pytest.mark.parametrize('workers', [34, 100, 245, 1000])
-def test_a_leaving_worker_is_known_in_time(workers: int) -> None:
-    """A worker says that it is leaving just after it was read."""
+def test_a_draining_worker_is_noticed_in_time(workers: int) -> None:
+    """A worker announces draining just after the list was read."""
     reading = min(workers, 300) * ENTRY_BYTES / SLOWEST_LINK_BYTES
     latest = choose_pause(workers) + 2 * reading + ORDER_SECONDS
     assert latest < DRAIN_SECONDS
 
 
 @attrs.define(eq=False)
-class _Lists(PlatformTable):
-    """Answers as told, each answer after the seconds that it takes.
+class _ScriptedTable(PlatformTable):
+    """Returns scripted answers, each after the seconds that it takes.
 
     Attributes:
-      clock: Moved on by each answer.
-      answers: Seconds and ids of the workers listed; None for a failure.
+      clock: Advanced by each answer.
+      answers: Seconds and ids of the listed workers; None for a failure.
     """
 
     clock: ManualClock
@@ -79,35 +80,39 @@
         return Changes(rows, 1)
 
 
-def _list_missed(
+def _list_unregistered(
     monkeypatch: pytest.MonkeyPatch, answers: list[tuple[float, str | None]]
 ) -> list[str]:
     monkeypatch.setattr(registry, 'POLL_SECONDS', 0.0)
     monkeypatch.setattr(registry, 'ROWS_PER_SECOND', float('inf'))
     clock = ManualClock()
-    missed: list[str] = []
+    unregistered: list[str] = []
 
     async def play() -> None:
-        table = _Lists(clock, answers)
+        table = _ScriptedTable(clock, answers)
         await poll_workers(
-            table, 'desk', lambda entry: None, missed.append, clock.monotonic
+            table,
+            'desk',
+            lambda entry: None,
+            unregistered.append,
+            clock.monotonic,
         )
 
     with pytest.raises(asyncio.CancelledError):
         run(play())
-    return missed
+    return unregistered
 
 
-def test_a_list_that_arrives_late_after_an_outage_tells_of_no_losses(
+def test_a_late_list_after_an_outage_unregisters_no_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Workers whose entries ran out in an outage are not given up too early."""
+    """Workers whose entries expired in an outage were dropped too early."""
     answers = [(0.1, 'ab'), (0.6, None), (2.5, 'a'), (0.1, 'a'), (0.1, 'ab')]
-    assert _list_missed(monkeypatch, answers) == []
+    assert _list_unregistered(monkeypatch, answers) == []
 
 
-def test_a_worker_that_is_not_listed_again_after_an_outage_is_lost(
+def test_a_worker_not_listed_again_after_an_outage_is_unregistered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     answers = [(0.1, 'ab'), (0.6, None), (0.1, 'a'), (2.5, 'a'), (0.1, 'a')]
-    assert _list_missed(monkeypatch, answers) == ['b']
+    assert _list_unregistered(monkeypatch, answers) == ['b']
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -1,4 +1,4 @@
-"""What a new owner restores from the rows of the one before."""
+"""State that a new owner restores from the rows of the previous one."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_any_number_of_takeovers_raises_the_next_run_by_one_margin() -> None:
-    """Each takeover raised the number of a task's next run."""
+    """Each takeover added a margin to the number of a task's next run."""
     runs = []
     for takeovers in (1, 3):
         cluster = ClusterState()
@@ -53,7 +53,7 @@
 
 
 def test_a_done_occurrence_is_not_run_again_by_a_slower_clock() -> None:
-    """A done occurrence runs again under an owner whose clock is behind."""
+    """A done occurrence ran again under an owner whose clock was behind."""
     spec = JobSpec(
         'a',
         'payload',
@@ -78,7 +78,7 @@
 def test_restoring_states_lets_the_lease_be_renewed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An owner that restores many tasks lost its lease meanwhile."""
+    """An owner lost its lease while it restored many tasks."""
     restored = 0
     restore = restore_state
 
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""What remains of a job that is over."""
+"""Memory that is left of a job after its removal."""
 
 from __future__ import annotations
 
@@ -19,29 +19,31 @@
 )
 
 
-def _forget_a_job() -> list[weakref.ref[Task]]:
-    """Runs a job to its end and forgets it; returns what watches its tasks."""
+def _run_and_remove_job() -> list[weakref.ref[Task]]:
+    """Runs and removes a job; returns weak references to its tasks."""
     cluster = ClusterState()
     admit(cluster, make_job('a', make_step(count=3)))
     worker = add_worker(cluster, 'w')
-    watches = []
+    references = []
     for index in range(3):
         task = find_task(cluster, 'a', 0, index)
         run_task(cluster, task, worker)
         cluster.end_run(task, EndKind.DONE, 2.0)
-        watches.append(weakref.ref(task))
+        references.append(weakref.ref(task))
     retention = Retention('desk', cluster, 1.0)
     old = retention.list_expired(100.0)
     assert [job.spec.id for job in old] == ['a']
     retention.forget(old)
-    return watches
+    return references
 
 
-def test_a_forgotten_job_leaves_nothing_for_the_collector() -> None:
-    """Forgotten jobs kept their memory until the collector walked the book."""
+def test_a_removed_job_is_freed_without_the_collector() -> None:
+    """Reference cycles kept removed jobs in memory for a long time."""
     gc.collect()
     gc.disable()
     try:
-        assert [watch() for watch in _forget_a_job()] == [None] * 3
+        assert [reference() for reference in _run_and_remove_job()] == [
+            None
+        ] * 3
     finally:
         gc.enable()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Finding the queue of a request among many routes."""
+"""Finding the route of a request among many."""
 
 from __future__ import annotations
 
--- a/tests/test_service_release.py
+++ b/tests/test_service_release.py
@@ -1,4 +1,4 @@
-"""An owner gives its service up: by a planned stop, or to a larger host."""
+"""Release of a service at a graceful shutdown or a handover."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class _LateTable(PlatformTable):
-    """A store that a write reaches late, also if its sender has given up."""
+    """Table that writes reach late, also after their sender gave up."""
 
     in_flight = 0
-    is_silent = False
+    is_unresponsive = False
 
     async def read_all(self, table: str, part: str = '') -> Changes:
-        while self.is_silent:
+        while self.is_unresponsive:
             await asyncio.sleep(0.01)
         return await super().read_all(table, part)
 
@@ -47,7 +47,7 @@
             self.in_flight -= 1
 
 
-def _open(
+def _open_table(
     stack: contextlib.AsyncExitStack,
 ) -> tuple[RowStore, _LateTable]:
     store, caller = open_store(stack)
@@ -73,10 +73,10 @@
 async def _stop_during_a_write(
     is_reading: bool = False, is_held: bool = True
 ) -> str:
-    """Stops a campaign while a write is on its way; returns the holder then."""
+    """Stops an election while a write is in flight; returns the holder then."""
     async with contextlib.AsyncExitStack() as stack:
-        store, table = _open(stack)
-        table.is_silent = is_reading
+        store, table = _open_table(stack)
+        table.is_unresponsive = is_reading
         candidates = Candidates(HOST)
         candidates.update({}, True)
         election = make_election(table, candidates)
@@ -90,33 +90,33 @@
         return _read_holder(store)
 
 
-def test_a_service_is_free_after_a_stop_with_a_write_on_its_way() -> None:
-    """A lease stayed with a stopped daemon whose last write came late."""
+def test_a_service_is_free_after_a_stop_with_a_write_in_flight() -> None:
+    """A stopped daemon kept its lease because its last write came late."""
     assert run(_stop_during_a_write()) == ''
 
 
-def test_a_service_is_free_after_a_stop_while_it_is_read(
+def test_a_service_is_free_after_a_stop_while_it_is_loaded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The same while a new owner still reads and renews its lease beside it."""
+    """The same while a new owner loads and renews its lease."""
     monkeypatch.setattr(takeover, 'RENEW_SECONDS', 0.01)
     assert run(_stop_during_a_write(is_reading=True)) == ''
 
 
-def test_a_service_is_free_after_a_stop_while_its_lease_is_taken() -> None:
-    """The same where the first write of the lease is on its way."""
+def test_a_service_is_free_after_a_stop_while_its_lease_is_acquired() -> None:
+    """The same while the first write of the lease is in flight."""
     assert run(_stop_during_a_write(is_held=False)) == ''
 
 
-def test_a_stop_while_reading_passes_on_that_starts_are_unwritten() -> None:
-    """The doubt about unwritten starts ended with a stop."""
+def test_a_stop_while_loading_keeps_the_note_of_unrecorded_starts() -> None:
+    """A stop during loading dropped the note on unrecorded starts."""
 
     async def play() -> bool:
         async with contextlib.AsyncExitStack() as stack:
-            store, table = _open(stack)
+            store, table = _open_table(stack)
             body = {'holder': '', 'epoch': 3, 'data': {'unwritten': True}}
             store.write(OWNER_ROW, orjson.dumps(['before', body]))
-            table.is_silent = True
+            table.is_unresponsive = True
             candidates = Candidates(HOST)
             candidates.update({}, True)
             election = make_election(table, candidates)
--- a/tests/test_state_writer.py
+++ b/tests/test_state_writer.py
@@ -1,4 +1,4 @@
-"""What an owner writes before it acts."""
+"""Order of writes, starts and acknowledgements by an owner."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 from tests.test_worker_session import IgnoringListener
 
 WRITES = 6
-"""Three hold every job once; as many again for those that changed meanwhile."""
+"""Three writes hold every job once; three more those that changed meanwhile."""
 
 
 class _SlowTable:
-    """Keeps what is written; a write takes until it is let through."""
+    """Table in memory whose writes wait until `gate` is set."""
 
     def __init__(self) -> None:
         self.gate = asyncio.Event()
         self.gate.set()
-        self.begun = asyncio.Event()
+        self.write_started = asyncio.Event()
         self.version = 0
         self.bodies: dict[Key, dict[str, Any]] = {}
 
@@ -52,7 +52,7 @@
         return {}
 
     async def transact(self, token: str, operations: list[Operation]) -> int:
-        self.begun.set()
+        self.write_started.set()
         await self.gate.wait()
         self.version += 1
         for operation in operations:
@@ -61,7 +61,7 @@
         return self.version
 
 
-def _make_commits(
+def _make_state_writer(
     table: PlatformTable,
     keeper: LeaseKeeper,
     lease: Lease,
@@ -85,8 +85,8 @@
     )
 
 
-def test_the_end_of_a_job_is_told_once() -> None:
-    """The line on a job's end was written again with its row."""
+def test_the_end_of_a_job_is_logged_once() -> None:
+    """The end of a job was logged again with each write of its row."""
 
     async def play() -> list[dict[str, Any]]:
         table = cast(PlatformTable, _SlowTable())
@@ -94,7 +94,9 @@
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
         cluster = ClusterState()
-        state_writer = _make_commits(table, keeper, lease, cluster, {}, print)
+        state_writer = _make_state_writer(
+            table, keeper, lease, cluster, {}, print
+        )
         job = admit(cluster, make_job('a'))
         with logbook.TestHandler() as handler:
             running = asyncio.create_task(state_writer.run())
@@ -106,14 +108,14 @@
             running.cancel()
             return [r.extra for r in handler.records if 'took' in r.extra]
 
-    told = run(play())
-    assert [(e['job'], e['took'], e['objective']) for e in told] == [
+    logged = run(play())
+    assert [(e['job'], e['took'], e['objective']) for e in logged] == [
         ('a', 7.5, 3.0)
     ]
 
 
 def test_a_start_placed_during_a_write_waits_for_the_next() -> None:
-    """A start that no row tells of ran twice after a change of owners."""
+    """A start that was in no row ran twice after a takeover."""
 
     async def play() -> None:
         table = cast(PlatformTable, _SlowTable())
@@ -127,18 +129,18 @@
         admit(cluster, make_job('a', make_step(count=2)))
         first, second = (find_task(cluster, 'a', 0, n) for n in range(2))
         sent: list[Task] = []
-        state_writer = _make_commits(
+        state_writer = _make_state_writer(
             table, keeper, lease, cluster, {}, sent.append
         )
         slow.gate.clear()
-        slow.begun.clear()
+        slow.write_started.clear()
         cluster.place([first], worker, 1.0)
         state_writer.add_start(first)
         running = asyncio.create_task(state_writer.run())
-        await slow.begun.wait()
+        await slow.write_started.wait()
         cluster.place([second], worker, 1.0)
         state_writer.add_start(second)
-        slow.begun.clear()
+        slow.write_started.clear()
         slow.gate.set()
         while not sent:
             await asyncio.sleep(0)
@@ -153,7 +155,7 @@
 
 
 class _BusyTable(_SlowTable):
-    """Has all jobs of a book change again with each write."""
+    """Table that marks all jobs as changed with each write."""
 
     cluster: ClusterState
 
@@ -161,12 +163,12 @@
         version = await super().transact(token, operations)
         for job_id in self.cluster.jobs:
             self.cluster.dirty[job_id] = None
-        # Others run meanwhile, as they do beside a real call.
+        # Other coroutines run here, as they do during a real call.
         await asyncio.sleep(0)
         return version
 
 
-def test_ends_are_acknowledged_while_more_jobs_change_than_a_write_holds(
+def test_run_ends_are_acknowledged_while_more_jobs_change_than_a_write_holds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On a busy owner no end was acknowledged, and next steps began late."""
@@ -190,7 +192,7 @@
         )
         session.received_end = 7
         sessions = {'w': session}
-        state_writer = _make_commits(
+        state_writer = _make_state_writer(
             table, keeper, lease, cluster, sessions, print
         )
         state_writer.request_write()
@@ -205,8 +207,12 @@
     run(play())
 
 
-def test_a_restarted_worker_keeps_the_ends_of_its_new_life() -> None:
-    """Ends of a worker's new life were acknowledged unheard, and ran again."""
+def test_run_ends_after_a_worker_restart_are_not_acknowledged_unread() -> None:
+    """Ends after a restart of a worker were acknowledged unread.
+
+    They are numbered anew; acknowledged by an earlier number they were lost,
+    and their tasks ran again.
+    """
 
     async def play() -> int:
         table = cast(PlatformTable, _SlowTable())
@@ -222,14 +228,14 @@
             worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
         )
         session.received_end = 7
-        state_writer = _make_commits(
+        state_writer = _make_state_writer(
             table, keeper, lease, cluster, {'w': session}, print
         )
         slow.gate.clear()
-        slow.begun.clear()
+        slow.write_started.clear()
         state_writer.request_write()
         running = asyncio.create_task(state_writer.run())
-        await slow.begun.wait()
+        await slow.write_started.wait()
         session.restart('it restarted')
         session.end_written.clear()
         slow.gate.set()
@@ -243,8 +249,8 @@
     assert run(play()) == 0
 
 
-def test_a_lease_tells_of_starts_that_no_row_tells_of() -> None:
-    """A task started in an outage ran twice after a change of owners."""
+def test_a_lease_records_that_starts_are_in_no_row() -> None:
+    """A task started in an outage ran twice after a takeover."""
 
     async def play() -> None:
         table = cast(PlatformTable, _SlowTable())
@@ -255,28 +261,30 @@
         assert lease is not None
         cluster = ClusterState()
         worker = add_worker(cluster, 'w', capacity=Room(999.0, 999_000))
-        state_writer = _make_commits(table, keeper, lease, cluster, {}, print)
+        state_writer = _make_state_writer(
+            table, keeper, lease, cluster, {}, print
+        )
         for number in range(COMMIT_ROWS + 1):
             admit(cluster, make_job(f'job-{number}'))
             task = find_task(cluster, f'job-{number}')
             cluster.place([task], worker, 1.0)
             state_writer.add_start(task)
         state_writer.send_unrecorded()
-        told: list[bool] = []
+        logged: list[bool] = []
         running = asyncio.create_task(state_writer.run())
-        while len(told) < 2:
+        while len(logged) < 2:
             version = slow.version
             while slow.version == version:
                 await asyncio.sleep(0.001)
-            told.append(has_unrecorded_starts(slow.bodies[key]['data']))
+            logged.append(has_unrecorded_starts(slow.bodies[key]['data']))
         running.cancel()
-        assert told == [True, False]
+        assert logged == [True, False]
 
     run(play())
 
 
-def test_starts_in_a_write_on_its_way_are_sent_in_an_outage_too() -> None:
-    """Starts in a write on its way wait until the store is back."""
+def test_starts_of_a_write_in_flight_are_sent_in_an_outage() -> None:
+    """Starts of a write in flight waited until the outage was over."""
 
     async def play() -> None:
         table = cast(PlatformTable, _SlowTable())
@@ -285,18 +293,18 @@
         lease = await keeper.try_acquire(Key('owners/desk', 'owner'))
         assert lease is not None
         cluster, sent = ClusterState(), cast(list[Task], [])
-        state_writer = _make_commits(
+        state_writer = _make_state_writer(
             table, keeper, lease, cluster, {}, sent.append
         )
         worker = add_worker(cluster, 'w')
         admit(cluster, make_job('a'))
         first = find_task(cluster, 'a')
         slow.gate.clear()
-        slow.begun.clear()
+        slow.write_started.clear()
         cluster.place([first], worker, 1.0)
         state_writer.add_start(first)
         running = asyncio.create_task(state_writer.run())
-        await slow.begun.wait()
+        await slow.write_started.wait()
         state_writer.send_unrecorded()
         running.cancel()
         assert sent == [first]
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""What a client is told when the store's answers are lost."""
+"""Results that a client gets when the store's answers are lost."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
         'steps': [{'count': 1, 'cpu': 1000, 'memMb': 500, 'estimatedMs': 100}],
     }
 )
-LOST = UnavailableError('connection reset')
+LOST_ANSWER = UnavailableError('connection reset')
 REFUSED = RefusedError('HTTP status 503')
-THERE = ConflictError(())
+ROW_EXISTS = ConflictError(())
 
 
 @attrs.define
-class ToldTable:
-    """Fails writes as told, one after the other, then carries them out."""
+class FailingTable:
+    """Table whose writes raise the given errors in order, and then succeed."""
 
     failures: list[Exception]
     written: int = 0
@@ -65,12 +65,12 @@
         return []
 
 
-def submit(failures: list[Exception]) -> ToldTable:
-    """Hands in a job."""
+def submit(failures: list[Exception]) -> FailingTable:
+    """Submits a job to a table whose writes first raise some errors."""
     clock = SystemClock()
     watch = StoreHealth(clock.monotonic, 'desk')
     outage = OutageDetector(watch, HttpClient(''), PeerList('a'))
-    table = ToldTable(list(failures))
+    table = FailingTable(list(failures))
     routes = RouteTable(clock.monotonic, 2.0)
     submissions = Submissions(table, routes, clock, lambda part: outage)
     route = Route('desk.example', '/checks/', make_policy())
@@ -78,24 +78,27 @@
     return table
 
 
-@pytest.mark.parametrize('failures', [[LOST], [LOST, LOST], [LOST, THERE]])
-def test_a_lost_answer_is_cleared_up_without_the_caller(
+@pytest.mark.parametrize(
+    'failures',
+    [[LOST_ANSWER], [LOST_ANSWER, LOST_ANSWER], [LOST_ANSWER, ROW_EXISTS]],
+)
+def test_a_lost_answer_is_retried_without_the_caller(
     failures: list[Exception],
 ) -> None:
-    """A broken connection to the store was left to the caller."""
+    """A broken connection to the store was reported to the caller."""
     table = submit(failures)
-    assert table.written == (THERE not in failures)
+    assert table.written == (ROW_EXISTS not in failures)
 
 
-def test_a_refusal_is_told_as_one() -> None:
+def test_a_refusal_is_reported_as_one() -> None:
     with pytest.raises(StoreError) as caught:
         submit([REFUSED])
     assert caught.value.ran is Ran.NO
     assert caught.value.retry_after is not None
 
 
-def test_a_refusal_after_a_lost_answer_is_no_refusal() -> None:
-    """A job that may still be written was told as refused."""
+def test_a_refusal_after_a_lost_answer_is_reported_as_unknown() -> None:
+    """A job that may still be written was reported as refused."""
     with pytest.raises(UnknownOutcomeError) as caught:
-        submit([LOST, REFUSED])
+        submit([LOST_ANSWER, REFUSED])
     assert caught.value.ran is Ran.UNKNOWN
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new owner reads what the one before left to it."""
+"""Loading of a service by a new owner."""
 
 from __future__ import annotations
 
@@ -37,23 +37,23 @@
 WAIT_SECONDS = 10.0
 
 
-class _LongTable(BlockedTable):
-    """Notes whether the collector passes while the jobs are read."""
+class _RecordingTable(BlockedTable):
+    """Table that records whether the collector runs while jobs are read."""
 
-    collects: bool | None = None
+    is_collector_enabled: bool | None = None
 
     async def read_all(self, table: str, part: str = '') -> Changes:
         if table == 'jobs':
             await self.gate.wait()
-            self.collects = gc.isenabled()
+            self.is_collector_enabled = gc.isenabled()
         return await super().read_all(table, part)
 
 
-def _open(
+def _open_table(
     stack: contextlib.AsyncExitStack,
-) -> tuple[RowStore, _LongTable, LeaseKeeper]:
+) -> tuple[RowStore, _RecordingTable, LeaseKeeper]:
     store, caller = open_store(stack)
-    table = _LongTable(caller, 1.0)
+    table = _RecordingTable(caller, 1.0)
     table.gate = asyncio.Event()
     keeper = LeaseKeeper(table, 'host-1.a', 2.0, SystemClock().monotonic)
     return store, table, keeper
@@ -78,15 +78,15 @@
     )
 
 
-def test_a_new_owner_renews_its_lease_while_it_reads(
+def test_a_new_owner_renews_its_lease_while_loading(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reading a thousand jobs cost each new owner its lease."""
+    """A new owner lost its lease while it read a thousand jobs."""
     monkeypatch.setattr(takeover, 'RENEW_SECONDS', 0.01)
 
     async def play() -> int:
         async with contextlib.AsyncExitStack() as stack:
-            store, table, keeper = _open(stack)
+            store, table, keeper = _open_table(stack)
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
             before = lease.version
@@ -105,12 +105,12 @@
     assert run(play()) == 1
 
 
-def test_what_is_read_is_not_searched_for_garbage() -> None:
-    """A takeover of thousands of tasks spends its time in the collector."""
+def test_the_garbage_collector_is_paused_while_loading() -> None:
+    """A takeover spent most of its time in the garbage collector."""
 
     async def play() -> bool | None:
         async with contextlib.AsyncExitStack() as stack:
-            store, table, keeper = _open(stack)
+            store, table, keeper = _open_table(stack)
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
             owner = _make_owner(table, keeper, lease)
@@ -121,21 +121,21 @@
                     await asyncio.sleep(0.01)
             owner.stop()
             await running
-            return table.collects
+            return table.is_collector_enabled
 
     assert run(play()) is False
     assert gc.isenabled()
 
 
-def test_a_host_that_loses_the_lease_while_it_reads_gives_up(
+def test_a_host_that_loses_the_lease_while_loading_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Another host takes the lease while this one still reads."""
+    """Another host takes the lease while this one is still loading."""
     monkeypatch.setattr(takeover, 'RENEW_SECONDS', 0.01)
 
     async def play() -> str:
         async with contextlib.AsyncExitStack() as stack:
-            store, table, keeper = _open(stack)
+            store, table, keeper = _open_table(stack)
             key = make_owner_key(SERVICE)
             lease = await keeper.try_acquire(key)
             assert lease is not None
@@ -150,15 +150,15 @@
     assert 'took the lease' in run(play())
 
 
-def test_a_stop_while_reading_is_not_kept_waiting(
+def test_a_stop_while_loading_does_not_wait_for_the_writer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A stop while reading waited for a writer that never began."""
+    """A stop during loading waited for a writer that never started."""
     monkeypatch.setattr(state_writer, 'SETTLE_SECONDS', 1e9)
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            _, table, keeper = _open(stack)
+            _, table, keeper = _open_table(stack)
             table.gate.set()
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
@@ -170,12 +170,12 @@
     run(play())
 
 
-def test_a_stop_while_reading_ends_without_the_store() -> None:
-    """A stop while reading waited for a renewal until the store is back."""
+def test_a_stop_while_loading_does_not_wait_for_the_store() -> None:
+    """A stop during loading waited for a store that was unavailable."""
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            _, table, keeper = _open(stack)
+            _, table, keeper = _open_table(stack)
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
             owner = _make_owner(table, keeper, lease)
@@ -196,12 +196,12 @@
     run(play())
 
 
-def test_a_new_owner_moves_tasks_off_a_worker_that_is_leaving() -> None:
-    """A new owner did not move what lasts off a worker that is leaving."""
+def test_a_new_owner_moves_tasks_off_a_draining_worker() -> None:
+    """A new owner left long-running tasks on a draining worker."""
 
     async def play() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            _, table, keeper = _open(stack)
+            _, table, keeper = _open_table(stack)
             lease = await keeper.try_acquire(make_owner_key(SERVICE))
             assert lease is not None
             owner = _make_owner(table, keeper, lease)
