--- a/lentilmount/control/retention.py
+++ b/lentilmount/control/retention.py
@@ -69,8 +69,8 @@
         """Removes jobs whose rows are deleted.
 
         Job and tasks refer to each other. With the cycle broken they are freed
-        at once; otherwise they stay until the collector walks the whole heap,
-        which is rare, while 24 jobs per second leave about 0.7 MB behind.
+        at once; otherwise they stay until a full garbage collection, which is
+        rare, while 24 jobs per second leave about 0.7 MB behind.
         """
         for job in jobs:
             self.cluster.jobs.pop(job.spec.id, None)
--- a/lentilmount/control/state_writer.py
+++ b/lentilmount/control/state_writer.py
@@ -100,7 +100,7 @@
       lease: The lease on the service.
       cluster: State of jobs, tasks and workers.
       interference_model: Model of interference between tasks.
-      sessions: Worker sessions by worker id; told which run ends are written.
+      sessions: Worker sessions by worker id; they acknowledge run ends.
       clock: Wall and monotonic clocks.
       send: Sends the start of a task whose placement is written.
       handle_lease_lost: Called with the reason when the lease is lost.
--- a/lentilmount/control/takeover.py
+++ b/lentilmount/control/takeover.py
@@ -19,12 +19,12 @@
     job_loader: JobLoader,
     state_writer: StateWriter,
     lease_expiry_seconds: float,
-    ended: asyncio.Event,
+    stop_requested: asyncio.Event,
 ) -> bool:
     """Reads all rows of a service, renewing its lease meanwhile.
 
-    A small host takes over 3 s to read 1,000 jobs, longer than the lease of 2
-    s. Without renewals one host after another would take the lease, read, and
+    A small host takes over 3 s to read 1,000 jobs, longer than its 2 s lease.
+    Without renewals one host after another would take the lease, read, and
     lose it before it became the owner.
 
     Args:
@@ -32,8 +32,8 @@
       state_writer: Renews the lease. Nothing else may write meanwhile, as the
         outcome of each write must be known before the next.
       lease_expiry_seconds: See `JobLoader.load`.
-      ended: Set when the owner is to stop. A graceful shutdown must not wait
-        for a store that is unavailable.
+      stop_requested: Set when the owner is to stop. A graceful shutdown must
+        not wait for a store that is unavailable.
 
     Returns:
       Whether the lease is still held and the owner is not to stop.
@@ -45,13 +45,13 @@
         _read(job_loader, state_writer, lease_expiry_seconds)
     )
     renewing = asyncio.create_task(_renew_while_reading(reading, state_writer))
-    stopping = asyncio.create_task(ended.wait())
+    stopping = asyncio.create_task(stop_requested.wait())
     try:
         with _pause_collector():
             await asyncio.wait(
                 {renewing, stopping}, return_when=asyncio.FIRST_COMPLETED
             )
-        if ended.is_set():
+        if stop_requested.is_set():
             # A renewal in flight could take effect before the release of the
             # lease and make it fail.
             reading.cancel()
--- a/tests/test_handover_to_larger_host.py
+++ b/tests/test_handover_to_larger_host.py
@@ -43,7 +43,7 @@
 LARGE_HOST = Capacity(2.1, 100.0)
 
 RESTART_TIMEOUT_SECONDS = 30.0
-"""Without a bound on handovers a task was still not restarted after this."""
+"""With unlimited handovers a task was not restarted within this time."""
 
 OBSERVED_SECONDS = 8.5
 """Longer than the interval between reads of the other daemons (4 s) and the
@@ -93,19 +93,19 @@
     """A service was handed to a host that had not reached the store."""
 
     async def play() -> bool:
-        watch = StoreHealth(SystemClock().monotonic, SERVICE)
+        health = StoreHealth(SystemClock().monotonic, SERVICE)
         caller = HttpClient('')
-        peer_detector = OutageDetector(watch, caller, PeerList('b'))
+        peer_detector = OutageDetector(health, caller, PeerList('b'))
         application = make_peer_api(
             lambda part: peer_detector,
             cast(PlatformTable, None),
-            RouteTable(watch.monotonic, 2.0),
+            RouteTable(health.monotonic, 2.0),
         )
         sockets = bind_sockets(0, '127.0.0.1')
         server = HTTPServer(application)
         server.add_sockets(sockets)
-        own = StoreHealth(SystemClock().monotonic, SERVICE)
-        own_detector = OutageDetector(own, caller, PeerList('a'))
+        own_health = StoreHealth(SystemClock().monotonic, SERVICE)
+        own_detector = OutageDetector(own_health, caller, PeerList('a'))
         try:
             port = sockets[0].getsockname()[1]
             return await own_detector.may_own(f'127.0.0.1:{port}')
@@ -143,14 +143,14 @@
 
 def add_larger_host(platform: PlatformFixture) -> None:
     """Adds a daemon that reaches the store and never acquires a lease."""
-    watch = StoreHealth(SystemClock().monotonic, 'desk')
-    watch.record(True)
-    outage = OutageDetector(watch, HttpClient(''), PeerList('b'))
+    health = StoreHealth(SystemClock().monotonic, 'desk')
+    health.record(True)
+    outage = OutageDetector(health, HttpClient(''), PeerList('b'))
     server = HTTPServer(
         make_peer_api(
             lambda part: outage,
             cast(PlatformTable, None),
-            RouteTable(watch.monotonic, 2.0),
+            RouteTable(health.monotonic, 2.0),
         )
     )
     sockets = bind_sockets(0, '127.0.0.1')
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -67,7 +67,7 @@
         seconds, listed = self.answers.pop(0)
         self.clock.advance(seconds)
         if listed is None:
-            raise UnavailableError('silent')
+            raise UnavailableError('no answer')
         entry = {
             'service': 'desk',
             'address': '127.0.0.1:1',
--- a/tests/test_state_writer.py
+++ b/tests/test_state_writer.py
@@ -210,7 +210,7 @@
 def test_run_ends_after_a_worker_restart_are_not_acknowledged_unread() -> None:
     """Ends after a restart of a worker were acknowledged unread.
 
-    They are numbered anew; acknowledged by an earlier number they were lost,
+    Their numbers begin again; acknowledged by an earlier number they were lost,
     and their tasks ran again.
     """
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -68,8 +68,8 @@
 def submit(failures: list[Exception]) -> FailingTable:
     """Submits a job to a table whose writes first raise some errors."""
     clock = SystemClock()
-    watch = StoreHealth(clock.monotonic, 'desk')
-    outage = OutageDetector(watch, HttpClient(''), PeerList('a'))
+    health = StoreHealth(clock.monotonic, 'desk')
+    outage = OutageDetector(health, HttpClient(''), PeerList('a'))
     table = FailingTable(list(failures))
     routes = RouteTable(clock.monotonic, 2.0)
     submissions = Submissions(table, routes, clock, lambda part: outage)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -182,7 +182,7 @@
 
             async def fail(*args: Any, **options: Any) -> Any:
                 await asyncio.sleep(0.6)
-                raise UnavailableError('away')
+                raise UnavailableError('no answer')
 
             table.transact = fail  # type: ignore[method-assign]
             table.read_all = fail  # type: ignore[method-assign]
