--- a/lentilmount/control/election.py
+++ b/lentilmount/control/election.py
@@ -232,7 +232,7 @@
         if owner.lost_reason:
             return
         data = decode_lease_data(lease.data, lease.epoch)
-        final_data = attrs.evolve(data, remaining=owner.list_remaining())
+        final_data = attrs.evolve(data, remaining=owner.list_lease_seconds())
         lease.data = final_data.encode(lease.epoch)
         if await keeper.release(lease):
             log.info('Released: {}.', self.settings.service)
--- a/lentilmount/control/owner.py
+++ b/lentilmount/control/owner.py
@@ -250,7 +250,7 @@
             if worker is not None:
                 worker.is_reported_unreachable = True
 
-    def list_remaining(self) -> dict[str, float]:
+    def list_lease_seconds(self) -> dict[str, float]:
         """Returns the seconds left of worker leases, by worker id."""
         now = self._clock.monotonic()
         if not self.loaded.is_set():
--- a/lentilmount/control/state_writer.py
+++ b/lentilmount/control/state_writer.py
@@ -344,7 +344,9 @@
             task.id.job for task in self._pending_starts
         )
         first = list(with_starts)[: COMMIT_ROWS - OLDEST_ROWS]
-        oldest = [j for j in self.cluster.dirty if j not in with_starts]
+        oldest = [
+            job_id for job_id in self.cluster.dirty if job_id not in with_starts
+        ]
         chosen = [*first, *oldest, *list(with_starts)[len(first) :]][
             :COMMIT_ROWS
         ]
