--- a/lentilmount/control/worker_commands.py
+++ b/lentilmount/control/worker_commands.py
@@ -1,4 +1,4 @@
-"""Orders to workers, each sent until its outcome is known."""
+"""Sends commands to workers, each one until its outcome is known."""
 
 from __future__ import annotations
 
@@ -27,56 +27,61 @@
 log = logbook.Logger('links')
 
 RETRY_SECONDS = 0.1
-"""Before an order without an answer is sent again; doubled each time."""
+"""Delay before an unanswered command is sent again; doubles each time."""
 
-LONGEST_RETRY_SECONDS = 1.0
-"""The longest such pause."""
+MAX_RETRY_SECONDS = 1.0
+"""Upper bound on that delay."""
 
 
 @attrs.define(eq=False)
 class CommandSender:
-    """Carries out what was decided, until each order's outcome is known.
+    """Sends start, stop and throttle commands until their outcome is known.
 
     Attributes:
-      cluster: Where the tasks are.
-      worker_client: How workers are called.
-      sessions: The links, by worker.
-      events: Who is told.
-      monotonic: The clock for durations.
+      cluster: Jobs, tasks and workers of the service.
+      worker_client: Sends calls to workers.
+      sessions: Sessions of the workers, by worker id.
+      listener: Notified when the lease of the service is lost.
+      monotonic: Returns monotonic time in seconds.
       start_task: Runs a coroutine in the background.
-      get_ticket: Returns what the advice service gave for a task's worker.
+      get_ticket: Returns the advice service's ticket for a task on a worker.
       wake: Called when a task may be placed again.
     """
 
     cluster: ClusterState
     worker_client: WorkerClient
     sessions: dict[str, WorkerSession]
-    events: SessionListener
+    listener: SessionListener
     monotonic: Callable[[], float]
     start_task: Callable[[Coroutine[Any, Any, None]], None]
     get_ticket: Callable[[Task, Worker], str]
     wake: Callable[[], None]
 
     def start(self, task: Task) -> None:
-        """Starts a task that was placed."""
+        """Sends the start of a task that was placed."""
         self.start_task(self._start(task, task.run))
 
     def stop(self, task: Task) -> None:
-        """Stops a task that was marked."""
+        """Sends the stop of a task in phase STOPPING."""
         self.start_task(self._stop(task, task.run))
 
-    def throttle(self, task: Task, percent: int) -> None:
-        """Lets a task work for a share of the time only."""
+    def throttle(self, task: Task, cpu_percent: int) -> None:
+        """Limits a task to a share of its CPU time.
+
+        Args:
+          task: The task.
+          cpu_percent: The share, in percent.
+        """
         task.previous_cpu_percent = task.cpu_percent
-        task.cpu_percent = percent
+        task.cpu_percent = cpu_percent
         task.throttled_at = self.monotonic()
         worker = self.cluster.workers.get(task.worker)
         if worker is not None:
             worker.change_count += 1
-        self.start_task(self._pace(task, task.run, percent))
+        self.start_task(self._throttle(task, task.run, cpu_percent))
 
     def stop_stale_run(self, stale_run: StaleRun) -> None:
-        """Stops a run that should not be there."""
+        """Sends the stop of a run that the worker must not run."""
         self.start_task(self._stop_stale_run(stale_run))
 
     async def _start(self, task: Task, run: int) -> None:
@@ -84,34 +89,36 @@
         is_due = task.phase is TaskPhase.STARTING and task.run == run
         if session is None or not is_due:
             return
-        order = self._make_start(session, task, run)
+        command = self._make_start(session, task, run)
         is_first = True
         pause = RETRY_SECONDS
         while task.phase is TaskPhase.STARTING and task.run == run:
-            answer = await self.worker_client.start(session.worker.entry, order)
-            self._note_answer(session, answer)
+            answer = await self.worker_client.start(
+                session.worker.entry, command
+            )
+            self._record_answer(session, answer)
             if task.run != run or task.phase is not TaskPhase.STARTING:
                 break
-            verdict = answer.verdict
-            if verdict is CallStatus.DONE:
+            status = answer.status
+            if status is CallStatus.DONE:
                 self.cluster.confirm_start(task, run, self.monotonic())
                 return
-            if verdict is CallStatus.FENCED:
-                self.events.handle_lease_lost(
-                    f'{task.worker} knows a higher token'
+            if status is CallStatus.FENCED:
+                self.listener.handle_lease_lost(
+                    f'{task.worker} has seen a higher token'
                 )
                 return
-            if verdict is not CallStatus.UNKNOWN:
-                self._take_rejection(task, run, verdict, not is_first)
+            if status is not CallStatus.UNKNOWN:
+                self._handle_rejection(task, run, status, not is_first)
                 return
             is_first = False
             pause = await _back_off(pause)
-        await self._probe(session, order.task, run)
+        await self._probe(session, command.task, run)
 
     def _make_start(
         self, session: WorkerSession, task: Task, run: int
     ) -> StartCommand:
-        """Makes a start, of which each copy carries the same deadline."""
+        """Returns the start command; all copies sent carry its deadline."""
         task.start_deadline_ms = session.choose_start_deadline()
         return StartCommand(
             task=str(task.id),
@@ -122,28 +129,28 @@
             ticket=self.get_ticket(task, session.worker),
         )
 
-    def _note_answer(
+    def _record_answer(
         self, session: WorkerSession, answer: CommandAnswer
     ) -> None:
-        session.record_command(answer.verdict)
+        session.record_command(answer.status)
         session.update_clock(answer.clock_ms)
 
-    def _take_rejection(
-        self, task: Task, run: int, verdict: CallStatus, uncertain: bool
+    def _handle_rejection(
+        self, task: Task, run: int, status: CallStatus, may_be_executed: bool
     ) -> None:
         log.info(
             'Not started: {}.',
-            verdict.value,
+            status.value,
             extra={'task': str(task.id), 'run': run, 'worker': task.worker},
         )
-        if uncertain:
-            # An earlier copy of the start may still be carried out there;
-            # a stop of the same run prevents that.
+        if may_be_executed:
+            # The worker may still execute an earlier copy of the start; a stop
+            # of the same run prevents that.
             self.cluster.begin_stop(task)
             self.stop(task)
             return
         worker = self.cluster.workers.get(task.worker)
-        if worker is not None and verdict is CallStatus.REFUSED:
+        if worker is not None and status is CallStatus.REFUSED:
             worker.quarantined_until = self.monotonic() + FORGET_SECONDS
         self.cluster.reject_start(task, run)
         self.wake()
@@ -156,11 +163,11 @@
         name = str(task.id)
         while task.phase is TaskPhase.STOPPING and task.run == run:
             sent_at = self.monotonic()
-            verdict = await self._send_stop(session, name, run)
-            if verdict is CallStatus.FENCED:
+            status = await self._send_stop(session, name, run)
+            if status is CallStatus.FENCED:
                 return
-            session.record_stop(_is_taken(verdict), sent_at)
-            if _is_taken(verdict):
+            session.record_stop(_is_accepted(status), sent_at)
+            if _is_accepted(status):
                 if task.run == run:
                     task.stopped_at = min(task.stopped_at, self.monotonic())
                 return
@@ -170,21 +177,21 @@
     async def _send_stop(
         self, session: WorkerSession, name: str, run: int
     ) -> CallStatus:
-        """Sends a stop once; returns what became of it."""
+        """Sends a stop once; returns its status."""
         answer = await self.worker_client.stop(session.worker.entry, name, run)
-        self._note_answer(session, answer)
-        if answer.verdict is CallStatus.FENCED:
-            self.events.handle_lease_lost(
-                f'{session.worker.id} knows a higher token'
+        self._record_answer(session, answer)
+        if answer.status is CallStatus.FENCED:
+            self.listener.handle_lease_lost(
+                f'{session.worker.id} has seen a higher token'
             )
-        return answer.verdict
+        return answer.status
 
     async def _probe(self, session: WorkerSession, name: str, run: int) -> None:
-        """Asks a worker that answers no orders until it answers one.
+        """Sends commands to a worker until it answers one.
 
-        The run may be at work there, as its start can have been heard all the
-        same. A stop of the one before does no harm, whenever it is carried
-        out. One worker gets one at a time.
+        Its last command may have been executed without an answer, so the run
+        may be active there. The probe stops the run before it instead, which
+        is harmless at any time. A worker is probed once at a time.
         """
         if session.is_probed:
             return
@@ -206,33 +213,33 @@
         session = self.sessions.get(stale_run.worker)
         if session is not None:
             sent_at = self.monotonic()
-            verdict = await self._send_stop(
+            status = await self._send_stop(
                 session, stale_run.task, stale_run.run
             )
-            session.record_stop(_is_taken(verdict), sent_at)
+            session.record_stop(_is_accepted(status), sent_at)
 
-    async def _pace(self, task: Task, run: int, percent: int) -> None:
+    async def _throttle(self, task: Task, run: int, cpu_percent: int) -> None:
         session = self.sessions.get(task.worker)
         if session is None:
             return
         pause = RETRY_SECONDS
-        while task.run == run and task.cpu_percent == percent:
+        while task.run == run and task.cpu_percent == cpu_percent:
             if not task.phase.is_placed:
                 return
-            answer = await self.worker_client.pace(
-                session.worker.entry, str(task.id), run, percent
+            answer = await self.worker_client.throttle(
+                session.worker.entry, str(task.id), run, cpu_percent
             )
-            self._note_answer(session, answer)
-            if answer.verdict is not CallStatus.UNKNOWN:
+            self._record_answer(session, answer)
+            if answer.status is not CallStatus.UNKNOWN:
                 return
             pause = await _back_off(pause)
 
 
-def _is_taken(verdict: CallStatus) -> bool:
-    return verdict not in (CallStatus.UNKNOWN, CallStatus.REFUSED)
+def _is_accepted(status: CallStatus) -> bool:
+    return status not in (CallStatus.UNKNOWN, CallStatus.REFUSED)
 
 
 async def _back_off(pause: float) -> float:
-    """Waits before an order is sent again; returns the next pause."""
+    """Waits before a command is sent again; returns the next delay."""
     await asyncio.sleep(pause)
-    return min(2 * pause, LONGEST_RETRY_SECONDS)
+    return min(2 * pause, MAX_RETRY_SECONDS)
--- a/lentilmount/control/worker_session.py
+++ b/lentilmount/control/worker_session.py
@@ -1,4 +1,4 @@
-"""The link of an owner to one worker: its leases and its lists."""
+"""Polls one worker: renews its leases and reconciles the runs it reports."""
 
 from __future__ import annotations
 
@@ -19,80 +19,83 @@
 
 log = logbook.Logger('links')
 
-POLL_SECONDS = 0.5
-"""Between looks at a worker where something fills beside what serves; figures
-there are half a second old at the best."""
+THROTTLING_POLL_SECONDS = 0.5
+"""Longest time that a poll waits for a run to end where best-effort tasks run
+beside serving tasks: throttling needs recent usage figures."""
 
-QUIET_LOOK_SECONDS = 1.5
-"""Between looks at any other worker: leases of 6 s are renewed four times."""
+DEFAULT_POLL_SECONDS = 1.5
+"""The same for any other worker: leases of 6 s are renewed four times."""
 
-DOUBT_LOOK_SECONDS = 0.25
-"""Between looks at a worker that leaves orders unanswered, as they tell when a
-start can no longer be carried out there, and at one whose leases may be renewed
-again in a moment."""
+FAST_POLL_SECONDS = 0.25
+"""The same for a worker that does not answer commands, as only its clock shows
+that a start has expired there, and for one whose leases may soon be renewed
+again."""
 
-START_SECONDS = 3.0
-"""Within which a worker must begin a start. Until then a start that is not
-answered keeps its task from any other worker; three calls fit in it."""
+START_TIMEOUT_SECONDS = 3.0
+"""Time within which a worker must begin a start. Until then the task of an
+unanswered start can't be placed on another worker. It allows three calls."""
 
 RETRY_SECONDS = 0.1
-"""Before a call without an answer is sent again."""
+"""Delay before a worker is polled again after a failed call."""
 
-UNCOMMITTED_LOOK_SECONDS = 0.25
-"""Between looks while ends cannot be written: they are all listed again."""
+UNRECORDED_ENDS_PAUSE_SECONDS = 0.25
+"""Delay between polls while run ends can't be recorded, as each report lists
+all of them again."""
 
-CLOCK_RATE = 0.98
-"""The slowest that a worker's clock runs, as the platform tells."""
+MIN_CLOCK_RATE = 0.98
+"""Slowest rate of a worker's clock that the platform allows."""
 
-LAPSE_MARGIN_SECONDS = 0.1
-"""For a worker to act on a lease that has run out."""
+EXPIRY_MARGIN_SECONDS = 0.1
+"""Time for a worker to end its tasks once a lease has expired."""
 
 FORGET_SECONDS = 1.0
-"""A worker that is gone and runs nothing more is forgotten after this."""
+"""Delay before the session of an unregistered worker without tasks ends; also
+the time for which a worker that refused a start gets no tasks."""
 
 
 class SessionListener(Protocol):
-    """What a link tells its owner."""
+    """Callbacks from the session of a worker to its owner."""
 
     def handle_lease_lost(self, reason: str) -> None:
-        """Another owner has a higher token."""
+        """Called when a worker has seen a higher fencing token."""
 
     def handle_poll_result(
         self, worker: Worker, result: ReconcileResult
     ) -> None:
-        """A look changed something."""
+        """Called after each report of the worker was reconciled."""
 
     def handle_tasks_ended(
         self, worker: Worker, tasks: list[Task], why: str
     ) -> None:
-        """Everything on a worker has ended."""
+        """Called when all tasks on a worker have ended."""
 
     def may_renew(self) -> bool:
-        """Whether leases may still be renewed."""
+        """Returns whether workers' leases may still be renewed."""
 
 
 @attrs.define(eq=False)
 class WorkerSession:
-    """One worker's leases and lists.
+    """An owner's connection to one worker: polls, leases and run ends.
 
     Attributes:
       worker: The worker.
-      cluster: Where its tasks are.
-      worker_client: How it is called.
-      events: Who is told.
-      lease_seconds: Longest lease.
-      monotonic: The clock for durations.
-      received_end: Number of the last end taken into the book.
-      written_end: Number of the last end whose effects are written.
-      incarnation: Raised with each restart of the worker, which numbers ends
-        anew.
-      is_probed: Whether the worker is being asked to answer an order again.
+      cluster: Jobs, tasks and workers of the service.
+      worker_client: Sends calls to workers.
+      listener: Receives the callbacks.
+      lease_seconds: Longest lease, in seconds.
+      monotonic: Returns monotonic time in seconds.
+      received_end: Number of the last run end that was reconciled.
+      written_end: Number of the last run end whose effects are recorded.
+      incarnation: Number of restarts of the worker seen by this session; run
+        ends are numbered anew after each.
+      is_probed: Whether the worker is being probed after an unanswered command.
+      end_written: Set when run ends were acknowledged.
     """
 
     worker: Worker
     cluster: ClusterState
     worker_client: WorkerClient
-    events: SessionListener
+    listener: SessionListener
     lease_seconds: float
     monotonic: Callable[[], float]
     received_end: int = 0
@@ -102,174 +105,188 @@
     end_written: asyncio.Event = attrs.field(factory=asyncio.Event)
     _started_ms: int | None = None
     _clock_ms: int | None = None
-    _clock_at: float = 0.0
-    _last_until_ms: int = 0
-    _inherited_end: float = attrs.field(init=False)
+    _clock_read_at: float = 0.0
+    _last_expiry_ms: int = 0
+    _inherited_expiry: float = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Keeps what is known of the previous owner's leases."""
-        self._inherited_end = self.worker.leases_expire_at
+        """Stores when the previous owner's leases expire."""
+        self._inherited_expiry = self.worker.leases_expire_at
 
     async def run(self) -> None:
-        """Keeps the link until the worker is gone and runs nothing."""
+        """Polls the worker until it is unregistered and runs no tasks."""
         while True:
             if not self.worker.is_registered and not self.worker.tasks:
                 await asyncio.sleep(FORGET_SECONDS)
                 if not self.worker.is_registered and not self.worker.tasks:
                     return
             if not self.worker.entry.address:
-                await self._wait_for_lapse()
+                await self._wait_for_expiry()
                 continue
-            await self._look()
+            await self._poll()
 
-    async def _wait_for_lapse(self) -> None:
+    async def _wait_for_expiry(self) -> None:
         self.worker.has_missed_poll = True
         await asyncio.sleep(RETRY_SECONDS)
-        self._check_lapse('its leases ran out, and it is not registered')
+        self._check_expiry('its leases ran out, and it is not registered')
 
-    def _check_lapse(self, why: str) -> None:
+    def _check_expiry(self, why: str) -> None:
         now = self.monotonic()
         if self.worker.tasks and now > self.worker.leases_expire_at:
-            self.events.handle_tasks_ended(
+            self.listener.handle_tasks_ended(
                 self.worker,
                 self.cluster.end_worker_tasks(self.worker, now),
                 why,
             )
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         if self.received_end > self.written_end:
-            # The worker would answer at once with the same ends.
+            # The worker would return the same run ends at once.
             self.end_written.clear()
             await wait_with_timeout(self.end_written, self._choose_pause())
-        waits = self.received_end <= self.written_end and self.worker.reachable
+        may_wait = (
+            self.received_end <= self.written_end and self.worker.reachable
+        )
         asked_at = self.monotonic()
         answer = await self.worker_client.poll(
             self.worker.entry,
             self.written_end,
-            self._choose_renewal(),
-            self._choose_wait() if waits else 0.0,
+            self._choose_renewal_expiry(),
+            self._choose_poll_wait() if may_wait else 0.0,
         )
         if isinstance(answer, WorkerReport):
             self._handle_report(answer, asked_at)
             return
-        await self._take_failure(answer)
+        await self._handle_failure(answer)
 
     def _choose_pause(self) -> float:
-        """Returns how long a look waits for ends to be written.
+        """Returns how long, in seconds, a poll waits for ends to be recorded.
 
-        An owner that may renew no lease is alone without the store: it can act
-        on nothing that it hears. On a small link the same ends, listed again
-        by hundreds of workers four times a second, kept its own calls to the
-        store from getting through, so that it never heard that it had been
-        replaced, even after the store answered again.
+        An owner that may not renew leases has lost the store while others may
+        reach it, so it can't act on reports. With frequent polls, hundreds of
+        workers reporting the same ends four times a second saturated a small
+        network link: the owner's calls to the store failed, and it did not
+        learn that it had been replaced even after the store was back.
         """
-        if self.events.may_renew():
-            return UNCOMMITTED_LOOK_SECONDS
-        return QUIET_LOOK_SECONDS
+        if self.listener.may_renew():
+            return UNRECORDED_ENDS_PAUSE_SECONDS
+        return DEFAULT_POLL_SECONDS
 
-    def _choose_wait(self) -> float:
+    def _choose_poll_wait(self) -> float:
         worker = self.worker
         if worker.is_reported_unreachable or (
             worker.tasks and not worker.answers_commands
         ):
-            return DOUBT_LOOK_SECONDS
-        serves = any(t.is_serving for t in self.worker.tasks.values())
-        fills = any(t.spec.fills for t in self.worker.tasks.values())
-        return POLL_SECONDS if serves and fills else QUIET_LOOK_SECONDS
+            return FAST_POLL_SECONDS
+        has_serving = any(t.is_serving for t in self.worker.tasks.values())
+        has_best_effort = any(t.spec.fills for t in self.worker.tasks.values())
+        return (
+            THROTTLING_POLL_SECONDS
+            if has_serving and has_best_effort
+            else DEFAULT_POLL_SECONDS
+        )
 
-    def _choose_renewal(self) -> int | None:
-        """Returns the end of new leases on the worker's clock, or None.
+    def _choose_renewal_expiry(self) -> int | None:
+        """Returns when renewed leases expire on the worker's clock, or None.
 
-        A worker whose answers do not arrive may still hear every call. If
-        each of them renewed its leases, nobody could ever know that they have
-        run out; so only the first one without an answer does.
+        A worker whose answers get lost may still receive every call. If each
+        call renewed its leases, nobody could know that they have expired, so
+        only the first call without an answer renews them.
         """
         return self.choose_lease_end() if self._may_renew() else None
 
     def _may_renew(self) -> bool:
         worker = self.worker
-        is_kept = worker.renews_leases and not worker.is_reported_unreachable
-        return worker.reachable and is_kept and self.events.may_renew()
+        is_allowed = worker.renews_leases and not worker.is_reported_unreachable
+        return worker.reachable and is_allowed and self.listener.may_renew()
 
     def choose_lease_end(self) -> int:
-        """Returns the end of a lease that begins now, on the worker's clock.
-
-        It is the last one for a worker that does not answer. A start is sent
-        until it is answered: if each copy to a worker that is gone for good
-        renewed its leases, they would never run out, and nothing placed there
-        would ever be started elsewhere. It is so too for an owner that may
-        not renew any more: the next one counts on the end of its leases, and
-        starts the same tasks elsewhere then.
+        """Returns when a lease granted now expires, on the worker's clock.
+
+        For an unreachable worker this is the previous expiry. A start is sent
+        until it is answered: if each copy renewed the leases of a lost worker,
+        they would never expire and its tasks could not start elsewhere. The
+        same applies when this owner may no longer renew leases, as the next
+        owner starts the tasks elsewhere once these leases have expired.
         """
-        return self._give_lease(self.lease_seconds)
+        return self._grant_lease(self.lease_seconds)
 
     def choose_start_deadline(self) -> int:
-        """Returns by when a start must begin, on the worker's clock.
+        """Returns the time by which a start must begin, on the worker's clock.
 
-        It is far shorter than a lease: no copy of the start is carried out
-        after it, so that the task can go to another worker soon. The leases
-        there, which looks renew, are as long as before.
+        It is much closer than the end of a lease. The worker executes no copy
+        of the start after it, so the task can soon go to another worker. The
+        worker's leases, which polls renew, do not become shorter.
         """
-        return self._give_lease(min(START_SECONDS, self.lease_seconds))
+        return self._grant_lease(min(START_TIMEOUT_SECONDS, self.lease_seconds))
 
-    def _give_lease(self, seconds: float) -> int:
+    def _grant_lease(self, seconds: float) -> int:
         if self._clock_ms is None or not self._may_renew():
-            return self._last_until_ms
-        passed = self.monotonic() - self._clock_at
-        until = self._clock_ms + int(1000 * (passed + seconds))
-        self._last_until_ms = max(self._last_until_ms, until)
-        self._note_lease()
-        return until
-
-    def _note_lease(self) -> None:
-        if self._clock_ms is None or not self._last_until_ms:
-            # No lease of ours: what the previous owner gave may still run, and
-            # freed early its tasks would run twice.
+            return self._last_expiry_ms
+        elapsed = self.monotonic() - self._clock_read_at
+        expiry_ms = self._clock_ms + int(1000 * (elapsed + seconds))
+        self._last_expiry_ms = max(self._last_expiry_ms, expiry_ms)
+        self._update_lease_expiry()
+        return expiry_ms
+
+    def _update_lease_expiry(self) -> None:
+        if self._clock_ms is None or not self._last_expiry_ms:
+            # This owner has granted no lease yet. Those of the previous owner
+            # may still hold, and its tasks would run twice if freed early.
             return
-        left = (self._last_until_ms - self._clock_ms) / 1000
-        end = self._clock_at + left / CLOCK_RATE + LAPSE_MARGIN_SECONDS
-        # The previous owner's leases may be longer than a start's.
-        self.worker.leases_expire_at = max(end, self._inherited_end)
+        remaining = (self._last_expiry_ms - self._clock_ms) / 1000
+        expires_at = (
+            self._clock_read_at
+            + remaining / MIN_CLOCK_RATE
+            + EXPIRY_MARGIN_SECONDS
+        )
+        # The previous owner's leases may end after the deadline of a start.
+        self.worker.leases_expire_at = max(expires_at, self._inherited_expiry)
 
     def update_clock(self, clock_ms: int | None) -> None:
-        """Takes in a worker's clock from any answer."""
+        """Updates the worker's clock from the answer to a call."""
         if clock_ms is None or clock_ms < (self._clock_ms or 0):
             return
         self._clock_ms = clock_ms
-        self._clock_at = self.monotonic()
-        self._note_lease()
+        self._clock_read_at = self.monotonic()
+        self._update_lease_expiry()
         self._expire_starts(clock_ms)
 
     def _expire_starts(self, clock_ms: int) -> None:
-        """Notes which starts can no longer be carried out."""
+        """Marks the starts whose deadline has passed on the worker's clock."""
         now = self.monotonic()
         for task in self.worker.tasks.values():
             is_pending = math.isinf(task.confirmed_at)
             if is_pending and 0 < task.start_deadline_ms < clock_ms:
                 task.start_expired_at = min(task.start_expired_at, now)
 
-    def record_command(self, verdict: CallStatus) -> None:
-        """Takes in whether the worker has answered an order."""
+    def record_command(self, status: CallStatus) -> None:
+        """Records whether the worker answered a command."""
         worker = self.worker
-        if verdict is CallStatus.REFUSED:
+        if status is CallStatus.REFUSED:
             return
-        is_answered = verdict is not CallStatus.UNKNOWN
+        is_answered = status is not CallStatus.UNKNOWN
         if is_answered and not worker.answers_commands:
-            log.info('Takes orders again.', extra={'worker': worker.id})
+            log.info('Takes commands again.', extra={'worker': worker.id})
         elif worker.answers_commands and not is_answered:
-            log.warning('Answers no orders.', extra={'worker': worker.id})
+            log.warning('Answers no commands.', extra={'worker': worker.id})
         worker.answers_commands = is_answered
 
-    def _trust_orders(self) -> None:
-        """Forgets orders that were lost while the worker was not heard."""
+    def _reset_command_state(self) -> None:
+        """Resets the command state after the worker was unreachable."""
         worker = self.worker
         worker.answers_commands = worker.renews_leases = True
         worker.stop_unanswered_since = math.inf
 
-    def record_stop(self, is_taken: bool, sent_at: float) -> None:
-        """Takes in whether the worker has taken a stop."""
+    def record_stop(self, is_accepted: bool, sent_at: float) -> None:
+        """Records whether the worker accepted a stop command.
+
+        Args:
+          is_accepted: Whether it did.
+          sent_at: Monotonic time in seconds at which the stop was sent.
+        """
         worker = self.worker
-        if is_taken:
+        if is_accepted:
             worker.stop_unanswered_since = math.inf
         else:
             since = min(worker.stop_unanswered_since, sent_at)
@@ -284,76 +301,83 @@
             self.restart('it restarted')
         self._started_ms = report.started_ms
         if not worker.has_answered:
-            self._bound_inherited()
+            self._bound_inherited_leases()
         if not worker.has_answered or not worker.reachable:
             log.info('Reached.', extra={'worker': worker.id})
-            self._trust_orders()
+            self._reset_command_state()
         worker.has_answered = worker.reachable = True
         worker.has_missed_poll = False
         self.update_clock(report.clock_ms)
-        fresh = tuple(e for e in report.ended if e.number > self.received_end)
+        new_ends = tuple(
+            e for e in report.ended if e.number > self.received_end
+        )
         result = Reconciler(self.cluster).reconcile(
             worker,
-            attrs.evolve(report, ended=fresh),
+            attrs.evolve(report, ended=new_ends),
             asked_at,
             self.monotonic(),
         )
         self.received_end = max(self.received_end, result.last_end_number)
-        self.events.handle_poll_result(worker, result)
+        self.listener.handle_poll_result(worker, result)
 
-    def _bound_inherited(self) -> None:
-        """Notes when unknown leases end: none is given there by others now."""
+    def _bound_inherited_leases(self) -> None:
+        """Bounds the expiry of leases that the previous owner may have granted.
+
+        The worker has answered this owner, so it accepts no more from others.
+        """
         if self.worker.leases_expire_at:
             return
-        longest = self.lease_seconds / CLOCK_RATE + LAPSE_MARGIN_SECONDS
-        self._inherited_end = self.monotonic() + longest
-        self.worker.leases_expire_at = self._inherited_end
+        longest = self.lease_seconds / MIN_CLOCK_RATE + EXPIRY_MARGIN_SECONDS
+        self._inherited_expiry = self.monotonic() + longest
+        self.worker.leases_expire_at = self._inherited_expiry
 
     def handle_registration(self, started_ms: int) -> None:
-        """Takes in that the worker registered a new life.
+        """Handles the registration of a new incarnation of the worker.
 
-        Its lists often tell of that life before. What was placed there since
-        runs; given up, it would be started elsewhere and run twice.
+        Often its reports have shown that incarnation already. Tasks placed on
+        it since then are running; ending them here would start them elsewhere
+        and run them twice.
         """
         if self._started_ms is None or self._started_ms < started_ms:
             self.restart('it registered anew')
 
     def acknowledge(self, incarnation: int, number: int) -> None:
-        """Lets the worker forget its ends up to a number, of one of its lives.
+        """Acknowledges run ends up to a number, for one incarnation.
 
-        Numbers begin anew with each life: of an earlier one, they would have
-        it forget ends that nobody has heard of, and what is done run again.
+        Numbers restart with each incarnation. Those of an earlier one would
+        make the worker drop ends that were never received, and completed tasks
+        would run again.
         """
         if incarnation == self.incarnation:
             self.written_end = max(self.written_end, number)
         self.end_written.set()
 
     def restart(self, why: str) -> None:
-        """Forgets an incarnation: nothing of it runs any more."""
+        """Resets the session after a restart: all runs there have ended."""
         self.received_end = self.written_end = 0
         self.incarnation += 1
         self._started_ms = None
         self._clock_ms = None
-        self._last_until_ms = 0
-        self._inherited_end = 0.0
+        self._last_expiry_ms = 0
+        self._inherited_expiry = 0.0
         worker = self.worker
-        self._trust_orders()
+        self._reset_command_state()
         tasks = self.cluster.end_worker_tasks(worker, self.monotonic())
         if tasks:
-            self.events.handle_tasks_ended(worker, tasks, why)
+            self.listener.handle_tasks_ended(worker, tasks, why)
 
-    async def _take_failure(self, verdict: CallStatus) -> None:
-        if verdict is CallStatus.FENCED:
-            self.events.handle_lease_lost(
-                f'{self.worker.id} knows a higher token'
+    async def _handle_failure(self, status: CallStatus) -> None:
+        if status is CallStatus.FENCED:
+            self.listener.handle_lease_lost(
+                f'{self.worker.id} has seen a higher token'
             )
         if self.worker.reachable:
             log.warning(
                 'Cannot be reached: {}.',
-                verdict.value,
+                status.value,
                 extra={'worker': self.worker.id},
             )
         self.worker.reachable = False
         self.worker.has_missed_poll = True
-        self._check_lapse('it could not be reached until its leases ran out')
+        self._check_expiry('it could not be reached until its leases ran out')
         await asyncio.sleep(RETRY_SECONDS)
--- a/lentilmount/platform/workers.py
+++ b/lentilmount/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to the workers."""
+"""HTTP client for the workers of the outer platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallStatus(enum.Enum):
-    """What a worker answered to an order."""
+    """Outcome of a call to a worker."""
 
     DONE = 'done'
     FENCED = 'fenced'
@@ -49,23 +49,24 @@
 
 @attrs.frozen
 class CommandAnswer:
-    """A worker's answer to an order, and its clock if it told it."""
+    """Outcome of a command, and the worker's clock if the answer has it."""
 
-    verdict: CallStatus
+    status: CallStatus
     clock_ms: int | None = None
 
 
 @attrs.frozen
 class StartCommand:
-    """A run to be started.
+    """A command to start a run of a task.
 
     Attributes:
       task: Name of the task.
       run: Number of the run.
-      payload: What the task is given.
-      lease_until_ms: End of the lease, on the worker's clock.
-      checkpoint: Where it goes on from, or ''.
-      ticket: What the advice service gave for this worker, or ''.
+      payload: Input of the task.
+      lease_until_ms: Time by which the run must begin and at which its lease
+        expires unless renewed, on the worker's clock in milliseconds.
+      checkpoint: Checkpoint to resume from, or ''.
+      ticket: Ticket of the advice service for this worker, or ''.
     """
 
     task: str
@@ -78,47 +79,47 @@
 
 @attrs.define
 class WorkerClient:
-    """Calls with one owner's fencing token.
+    """Sends calls to workers, with the fencing token of an owner.
 
     Attributes:
-      caller: Sends the calls; shared by all workers.
-      token: The owner's epoch.
-      timeout: Seconds for an order.
+      http_client: Sends the requests; shared by all workers.
+      token: The fencing token: the owner's epoch.
+      timeout: Timeout of a command, in seconds.
     """
 
-    caller: HttpClient
+    http_client: HttpClient
     token: int
     timeout: float
 
     async def start(
-        self, worker: WorkerEntry, order: StartCommand
+        self, worker: WorkerEntry, command: StartCommand
     ) -> CommandAnswer:
         """Starts a run."""
         body: dict[str, Any] = {
-            'task': order.task,
-            'run': order.run,
-            'spec': order.payload,
-            'deadlineMs': order.lease_until_ms,
+            'task': command.task,
+            'run': command.run,
+            'spec': command.payload,
+            'deadlineMs': command.lease_until_ms,
         }
-        if order.checkpoint:
-            body['checkpoint'] = order.checkpoint
-        if order.ticket:
-            body['ticket'] = order.ticket
-        return await self._order(worker, '/run-start', body)
+        if command.checkpoint:
+            body['checkpoint'] = command.checkpoint
+        if command.ticket:
+            body['ticket'] = command.ticket
+        return await self._send_command(worker, '/run-start', body)
 
     async def stop(
         self, worker: WorkerEntry, task: str, run: int
     ) -> CommandAnswer:
-        """Stops a run, also one that is not there yet."""
+        """Stops a run; a start of it that arrives later is rejected."""
         body = {'task': task, 'run': run}
-        return await self._order(worker, '/run-stop', body)
+        return await self._send_command(worker, '/run-stop', body)
 
-    async def pace(
+    async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int
     ) -> CommandAnswer:
-        """Lets a run work only for a share of the time."""
+        """Limits a run to a share of its CPU time, in percent."""
         body = {'task': task, 'run': run, 'percent': percent}
-        return await self._order(worker, '/pace', body)
+        return await self._send_command(worker, '/pace', body)
 
     async def poll(
         self,
@@ -127,41 +128,43 @@
         lease_until_ms: int | None,
         wait: float,
     ) -> WorkerReport | CallStatus:
-        """Renews the leases of a worker and asks for its lists.
+        """Renews the leases of a worker and reads its runs and run ends.
 
         Args:
-          worker: Whom to ask.
-          seen: Number of the last end that may be forgotten.
-          lease_until_ms: End of the leases on the worker's clock, or None to
-            leave them as they are.
-          wait: Seconds that the answer may wait for an end.
+          worker: The worker.
+          seen: Number of the last run end to acknowledge.
+          lease_until_ms: New expiry of the leases on the worker's clock in
+            milliseconds, or None to leave them unchanged.
+          wait: Longest time in seconds that the worker waits for a run end.
 
         Returns:
-          The lists, or why there are none.
+          The worker's report, or the status of the failed call.
         """
         body: dict[str, Any] = {
             'fencingToken': self.token,
-            # The last end whose effects are written, not merely received.
+            # 'lastSeen' acknowledges run ends whose effects are recorded, not
+            # those merely received.
             'lastSeen': seen,
         }
         if lease_until_ms is not None:
             body['deadlineMs'] = lease_until_ms
         if wait > 0:
             body['waitMs'] = int(wait * 1000)
+        # '/hold' renews leases and returns the report; it holds no task back.
         answer = await self._post(worker, '/hold', body, self.timeout + wait)
         if answer.status != 200:
-            return _read_verdict(answer).verdict
+            return _decode_answer(answer).status
         try:
             return decode_worker_report(answer.body)
         except ValueError:
             return CallStatus.UNKNOWN
 
-    async def _order(
+    async def _send_command(
         self, worker: WorkerEntry, path: str, body: dict[str, Any]
     ) -> CommandAnswer:
         body['fencingToken'] = self.token
         answer = await self._post(worker, path, body, self.timeout)
-        return _read_verdict(answer)
+        return _decode_answer(answer)
 
     async def _post(
         self,
@@ -170,7 +173,7 @@
         body: dict[str, Any],
         timeout: float,
     ) -> HttpResponse:
-        return await self.caller.call(
+        return await self.http_client.call(
             'POST',
             path,
             orjson.dumps(body),
@@ -183,8 +186,8 @@
         )
 
 
-def _read_verdict(answer: HttpResponse) -> CommandAnswer:
-    verdict = _STATUSES.get(answer.status, CallStatus.UNKNOWN)
+def _decode_answer(answer: HttpResponse) -> CommandAnswer:
+    status = _STATUSES.get(answer.status, CallStatus.UNKNOWN)
     try:
         document = orjson.loads(answer.body) if answer.body else {}
     except ValueError:
@@ -192,6 +195,6 @@
     if not isinstance(document, dict):
         document = {}
     if answer.status == 409:
-        verdict = _REASONS.get(document.get('reason', ''), CallStatus.REFUSED)
+        status = _REASONS.get(document.get('reason', ''), CallStatus.REFUSED)
     clock = document.get('clockMs')
-    return CommandAnswer(verdict, clock if isinstance(clock, int) else None)
+    return CommandAnswer(status, clock if isinstance(clock, int) else None)
--- a/tests/test_poll_intervals.py
+++ b/tests/test_poll_intervals.py
@@ -1,4 +1,4 @@
-"""How often a link looks at its worker."""
+"""How often a session polls its worker."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.helpers import run
 from tests.scheduling_fixtures import add_worker, make_report
 
-LOOKS = 3
+POLLS = 3
 
 
 @attrs.define
-class _Events:
-    """Tells whether leases may be renewed; forgets the rest."""
+class _Listener:
+    """A listener that allows renewals or not, and ignores the rest."""
 
     renews: bool
 
@@ -46,12 +46,12 @@
         return self.renews
 
 
-class _Calls(WorkerClient):
-    """Answers every look at once, and ends the link after a few."""
+class _Client(WorkerClient):
+    """A client that answers a few polls at once, and blocks after them."""
 
     def __init__(self) -> None:
         super().__init__(HttpClient(''), 1, 1.0)
-        self.looks = 0
+        self.polls = 0
         self.enough = asyncio.Event()
 
     async def poll(
@@ -61,8 +61,8 @@
         lease_until_ms: int | None,
         wait: float,
     ) -> WorkerReport:
-        self.looks += 1
-        if self.looks == LOOKS:
+        self.polls += 1
+        if self.polls == POLLS:
             self.enough.set()
             await asyncio.Event().wait()
         return make_report()
@@ -71,35 +71,37 @@
 async def _list_pauses(
     renews: bool, monkeypatch: pytest.MonkeyPatch
 ) -> list[float]:
-    """Lets a link look while an end cannot be written; returns its pauses."""
+    """Runs a session whose run end can't be recorded; returns its pauses."""
     pauses: list[float] = []
 
-    async def note(event: asyncio.Event, seconds: float) -> None:
+    async def record_pause(event: asyncio.Event, seconds: float) -> None:
         pauses.append(seconds)
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(worker_session, 'wait_with_timeout', note)
+    monkeypatch.setattr(worker_session, 'wait_with_timeout', record_pause)
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    calls = _Calls()
+    client = _Client()
     clock = ManualClock().monotonic
-    session = WorkerSession(worker, cluster, calls, _Events(renews), 6.0, clock)
+    session = WorkerSession(
+        worker, cluster, client, _Listener(renews), 6.0, clock
+    )
     session.received_end = 1
-    running = asyncio.create_task(session.run())
-    await calls.enough.wait()
-    running.cancel()
+    session_task = asyncio.create_task(session.run())
+    await client.enough.wait()
+    session_task.cancel()
     return pauses
 
 
-def test_an_owner_alone_without_the_store_looks_seldom(
+def test_an_owner_cut_off_from_the_store_polls_rarely(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Lists of unwritten ends filled the link of an owner that was cut off."""
-    assert run(_list_pauses(False, monkeypatch)) == [1.5] * LOOKS
+    """Reports of unrecorded run ends saturated the owner's network link."""
+    assert run(_list_pauses(False, monkeypatch)) == [1.5] * POLLS
 
 
-def test_an_owner_that_acts_hears_of_ends_soon(
+def test_an_owner_that_may_renew_leases_polls_often(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In an outage for all, work goes on: the next step waits for the ends."""
-    assert run(_list_pauses(True, monkeypatch)) == [0.25] * LOOKS
+    """In a general outage jobs continue, and their next steps need run ends."""
+    assert run(_list_pauses(True, monkeypatch)) == [0.25] * POLLS
--- a/tests/test_refused_stops.py
+++ b/tests/test_refused_stops.py
@@ -1,4 +1,4 @@
-"""Stops that an unhealthy worker refuses."""
+"""Stop commands that an unhealthy worker refuses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import worker_commands as orders_module
+from lentilmount.control import worker_commands
 from lentilmount.control.worker_commands import CommandSender
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import CallStatus, CommandAnswer, WorkerClient
@@ -29,14 +29,21 @@
 
 def make_command_sender(
     cluster: ClusterState,
-    calls: WorkerClient,
+    client: WorkerClient,
     session: WorkerSession,
     started: list[Coroutine[Any, Any, None]],
 ) -> CommandSender:
-    """Returns orders to one worker, of which each is kept unsent in a list."""
+    """Returns a command sender for one worker.
+
+    Args:
+      cluster: The cluster state.
+      client: The client for workers.
+      session: The worker's session.
+      started: Collects the commands' coroutines, not yet run.
+    """
     return CommandSender(
         cluster,
-        calls,
+        client,
         {session.worker.id: session},
         IgnoringListener(),
         session.monotonic,
@@ -46,25 +53,25 @@
     )
 
 
-class _RefusingCalls(WorkerClient):
-    """Refuses the first stop and takes the next one."""
+class _RefusingClient(WorkerClient):
+    """A client whose worker refuses the first stop and accepts the next one."""
 
     def __init__(self) -> None:
         super().__init__(HttpClient(''), 1, 1.0)
-        self.verdicts = [CallStatus.REFUSED, CallStatus.DONE]
+        self.statuses = [CallStatus.REFUSED, CallStatus.DONE]
 
     async def stop(
         self, worker: WorkerEntry, task: str, run: int
     ) -> CommandAnswer:
         """See `WorkerClient`."""
-        return CommandAnswer(self.verdicts.pop(0))
+        return CommandAnswer(self.statuses.pop(0))
 
 
 def test_a_stop_that_was_refused_is_sent_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A start carried out late ran after its task had ended elsewhere."""
-    monkeypatch.setattr(orders_module, 'RETRY_SECONDS', 0.0)
+    """A start executed late ran after its task had ended elsewhere."""
+    monkeypatch.setattr(worker_commands, 'RETRY_SECONDS', 0.0)
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
@@ -72,21 +79,21 @@
     task = find_task(cluster, 'job')
     run_task(cluster, task, worker)
     cluster.begin_stop(task)
-    calls = _RefusingCalls()
+    client = _RefusingClient()
     session = WorkerSession(
         worker,
         cluster,
-        calls,
+        client,
         IgnoringListener(),
         LEASE_SECONDS,
         clock.monotonic,
     )
     started: list[Coroutine[Any, Any, None]] = []
-    commands = make_command_sender(cluster, calls, session, started)
-    commands.stop(task)
+    sender = make_command_sender(cluster, client, session, started)
+    sender.stop(task)
 
-    async def play() -> None:
+    async def scenario() -> None:
         await asyncio.wait_for(started[0], 5.0)
 
-    run(play())
-    assert calls.verdicts == []
+    run(scenario())
+    assert client.statuses == []
--- a/tests/test_unanswered_commands.py
+++ b/tests/test_unanswered_commands.py
@@ -1,4 +1,4 @@
-"""Workers that answer looks and leave orders unanswered."""
+"""Workers that answer polls and leave commands unanswered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from lentilmount.clock import ManualClock
-from lentilmount.control import worker_commands as orders_module
+from lentilmount.control import worker_commands
 from lentilmount.control.worker_session import WorkerSession
 from lentilmount.platform.workers import CallStatus, CommandAnswer, WorkerClient
 from lentilmount.scheduling.cluster import ClusterState
@@ -45,23 +45,23 @@
 from tests.test_worker_session import IgnoringListener
 
 JOBS = [f'{number:016x}' for number in range(1, 9)]
-LASTING = 'f' * 16
-ORDERS = frozenset({START_PATH, STOP_PATH})
+LONG_RUNNING_JOB = 'f' * 16
+COMMAND_PATHS = frozenset({START_PATH, STOP_PATH})
 
 LATE_SECONDS = 4.0
-"""After which a worker carries out what it left unanswered: longer than a start
-waits for, and shorter than the leases there."""
+"""Delay after which a worker executes unanswered commands: longer than the
+deadline of a start, and shorter than its leases."""
 
 LOST_ANSWERS = 5
 
-WATCHED_SECONDS = 10.0
-MOST_ORDERS_PER_SECOND = 10.0
-"""To a worker that answers none: eight starts, each sent again once a second in
-the end, and the probe."""
+OBSERVED_SECONDS = 10.0
+MAX_COMMANDS_PER_SECOND = 10.0
+"""Commands to a worker that answers none: eight starts, each finally repeated
+once a second, and the probe."""
 
 
 async def complete_jobs(platform: PlatformFixture, daemon: Daemon) -> None:
-    """Hands in all jobs, and waits until they are completed."""
+    """Submits all jobs, and waits until they are completed."""
     for job_id in JOBS:
         await platform.submit(daemon, job_id)
     for job_id in JOBS:
@@ -69,100 +69,102 @@
 
 
 def count_starts(platform: PlatformFixture) -> collections.Counter[str]:
-    """Counts the starts that were carried out, by task."""
+    """Counts the executed starts, by task."""
     return collections.Counter(
         task for task, _, _ in platform.fleet.list_starts()
     )
 
 
 @pytest.mark.parametrize('fault', ['unanswered', 'failing'])
-@pytest.mark.parametrize('paths', [ORDERS, frozenset({START_PATH})])
-def test_a_worker_that_takes_no_starts_does_not_keep_its_jobs(
+@pytest.mark.parametrize('paths', [COMMAND_PATHS, frozenset({START_PATH})])
+def test_jobs_of_a_worker_that_answers_no_starts_run_elsewhere(
     tmp_path: pathlib.Path, fault: str, paths: frozenset[str]
 ) -> None:
-    """Jobs placed on a worker that answered only looks never ran."""
+    """Jobs placed on a worker that answered only polls never ran."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             getattr(platform.fleet.workers[0], fault).update(paths)
             await complete_jobs(platform, daemon)
             assert set(count_starts(platform).values()) == {1}
 
-    run(play())
+    run(scenario())
 
 
-def test_a_start_carried_out_late_does_not_run_beside_another(
+def test_a_start_executed_late_does_not_run_beside_another(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A task given up for a start without an answer could run twice."""
+    """A task placed elsewhere after an unanswered start could run twice."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
-            odd = platform.fleet.workers[0]
-            odd.unanswered |= ORDERS
-            odd.late_seconds = LATE_SECONDS
+            faulty = platform.fleet.workers[0]
+            faulty.unanswered |= COMMAND_PATHS
+            faulty.late_seconds = LATE_SECONDS
             await complete_jobs(platform, daemon)
             await asyncio.sleep(LATE_SECONDS)
-            assert not odd.started
+            assert not faulty.started
             assert set(count_starts(platform).values()) == {1}
 
-    run(play())
+    run(scenario())
 
 
-def test_a_task_whose_start_was_not_answered_runs_on(
+def test_a_task_whose_start_was_not_answered_keeps_running(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A running task was stopped to find out whether orders are answered."""
+    """The probe for an answer to commands stopped the running task."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             for worker in platform.fleet.workers:
                 worker.lasts.add('long')
-                worker.unanswered |= ORDERS
+                worker.unanswered |= COMMAND_PATHS
                 worker.hears = True
-            await platform.submit(daemon, LASTING, 'long', longRunning=True)
-            await platform.wait_for_state(daemon, LASTING, 'running')
+            await platform.submit(
+                daemon, LONG_RUNNING_JOB, 'long', longRunning=True
+            )
+            await platform.wait_for_state(daemon, LONG_RUNNING_JOB, 'running')
             await asyncio.sleep(LATE_SECONDS)
             assert len(platform.fleet.list_starts()) == 1
             assert any(worker.running for worker in platform.fleet.workers)
 
-    run(play())
+    run(scenario())
 
 
-def test_a_worker_that_takes_orders_again_gets_work_again(
+def test_a_worker_that_answers_commands_again_gets_tasks_again(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A worker that got well was left without work."""
+    """A worker that had recovered got no more tasks."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
-            odd = platform.fleet.workers[0]
-            odd.unanswered |= ORDERS
+            faulty = platform.fleet.workers[0]
+            faulty.unanswered |= COMMAND_PATHS
             await complete_jobs(platform, daemon)
-            odd.unanswered.clear()
+            faulty.unanswered.clear()
             await platform.submit(
-                daemon, LASTING, count=2, cpu=5000, longRunning=True
+                daemon, LONG_RUNNING_JOB, count=2, cpu=5000, longRunning=True
             )
 
             async def is_used() -> bool:
-                return bool(odd.started)
+                return bool(faulty.started)
 
             await platform.wait_for(is_used)
 
-    run(play())
+    run(scenario())
 
 
-async def start_lasting(
+async def start_long_running(
     platform: PlatformFixture, daemon: Daemon
 ) -> FleetWorker:
-    """Starts a lasting task; returns the worker that runs it."""
+    """Starts a long-running task; returns the worker that runs it."""
     for worker in platform.fleet.workers:
         worker.lasts.add('long')
-    await platform.submit(daemon, LASTING, 'long', longRunning=True)
+    await platform.submit(daemon, LONG_RUNNING_JOB, 'long', longRunning=True)
 
     async def runs() -> bool:
         return any(worker.running for worker in platform.fleet.workers)
@@ -171,49 +173,53 @@
     return next(w for w in platform.fleet.workers if w.running)
 
 
-def test_a_cancelled_task_ends_where_no_stop_is_answered(
+def test_a_cancelled_task_ends_on_a_worker_that_answers_no_stops(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A cancelled task ran on for as long as its worker answered looks."""
+    """A cancelled task ran for as long as its worker answered polls."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
-            odd = await start_lasting(platform, daemon)
-            odd.unanswered.add(STOP_PATH)
-            answer = await platform.call(daemon, 'DELETE', PREFIX + LASTING)
+            faulty = await start_long_running(platform, daemon)
+            faulty.unanswered.add(STOP_PATH)
+            answer = await platform.call(
+                daemon, 'DELETE', PREFIX + LONG_RUNNING_JOB
+            )
             assert answer.code == 200
 
             async def has_ended() -> bool:
-                odd.step()
-                return not odd.running
+                faulty.step()
+                return not faulty.running
 
             await platform.wait_for(has_ended)
             assert len(platform.fleet.list_starts()) == 1
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize('fault', ['unanswered', 'failing'])
-def test_orders_without_an_answer_are_sent_more_and_more_seldom(
+def test_unanswered_commands_are_sent_with_backoff(
     tmp_path: pathlib.Path, fault: str
 ) -> None:
-    """A worker that failed all orders was sent 78 a second."""
+    """A worker that failed all commands got 78 of them a second."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
-            odd = platform.fleet.workers[0]
-            getattr(odd, fault).update(ORDERS)
+            faulty = platform.fleet.workers[0]
+            getattr(faulty, fault).update(COMMAND_PATHS)
             for job_id in JOBS:
                 await platform.submit(daemon, job_id)
-            await asyncio.sleep(WATCHED_SECONDS)
-            assert len(odd.asked) <= MOST_ORDERS_PER_SECOND * WATCHED_SECONDS
+            await asyncio.sleep(OBSERVED_SECONDS)
+            assert (
+                len(faulty.asked) <= MAX_COMMANDS_PER_SECOND * OBSERVED_SECONDS
+            )
 
-    run(play())
+    run(scenario())
 
 
-def place_start(cluster: ClusterState) -> tuple[Task, Worker]:
+def place_unanswered_start(cluster: ClusterState) -> tuple[Task, Worker]:
     """Places a task whose start must begin by 2 s on the worker's clock."""
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('job'))
@@ -223,10 +229,10 @@
     return task, worker
 
 
-def test_a_start_that_may_still_be_carried_out_keeps_its_task() -> None:
-    """A list made before a start expired proves nothing about the start."""
+def test_a_start_that_may_still_be_executed_keeps_its_task() -> None:
+    """A report from before a start expired does not show that it never ran."""
     cluster = ClusterState()
-    task, worker = place_start(cluster)
+    task, worker = place_unanswered_start(cluster)
     reconciler = Reconciler(cluster)
     reconciler.reconcile(worker, make_report(), 3.0, 3.1)
     task.start_expired_at = 4.0
@@ -237,18 +243,18 @@
     assert task.id in cluster.ready
 
 
-class _LossyCalls(WorkerClient):
-    """Loses the answers of the first changes of pace."""
+class _LossyClient(WorkerClient):
+    """A client that loses the answers to the first throttle commands."""
 
     def __init__(self) -> None:
         super().__init__(HttpClient(''), 1, 1.0)
-        self.verdicts = [CallStatus.UNKNOWN] * LOST_ANSWERS + [CallStatus.DONE]
+        self.statuses = [CallStatus.UNKNOWN] * LOST_ANSWERS + [CallStatus.DONE]
 
-    async def pace(
+    async def throttle(
         self, worker: WorkerEntry, task: str, run: int, percent: int
     ) -> CommandAnswer:
         """See `WorkerClient`."""
-        return CommandAnswer(self.verdicts.pop(0))
+        return CommandAnswer(self.statuses.pop(0))
 
     async def poll(self, *args: object, **options: object) -> WorkerReport:
         """See `WorkerClient`."""
@@ -256,36 +262,36 @@
         return make_report()
 
 
-def test_a_change_of_pace_is_sent_until_it_is_answered(
+def test_a_throttle_command_is_sent_until_it_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A task that was taken to be slowed down went on interfering."""
-    monkeypatch.setattr(orders_module, 'RETRY_SECONDS', 0.0)
+    """A task was recorded as throttled, but ran on without a limit."""
+    monkeypatch.setattr(worker_commands, 'RETRY_SECONDS', 0.0)
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('job', make_step(fills=True)))
     task = find_task(cluster, 'job')
     run_task(cluster, task, worker)
-    calls = _LossyCalls()
+    client = _LossyClient()
     clock = ManualClock()
     session = WorkerSession(
-        worker, cluster, calls, IgnoringListener(), 6.0, clock.monotonic
+        worker, cluster, client, IgnoringListener(), 6.0, clock.monotonic
     )
     started: list[Coroutine[Any, Any, None]] = []
-    make_command_sender(cluster, calls, session, started).throttle(task, 20)
+    make_command_sender(cluster, client, session, started).throttle(task, 20)
 
-    async def play() -> None:
+    async def scenario() -> None:
         await asyncio.wait_for(started[0], 5.0)
 
-    run(play())
-    assert calls.verdicts == []
+    run(scenario())
+    assert client.statuses == []
 
 
-def open_overdue(workers: int) -> list[Worker]:
-    """Returns workers of which each has left a stop unanswered."""
+def make_overdue_workers(workers: int) -> list[Worker]:
+    """Returns workers, each of which has left a stop unanswered."""
     cluster = ClusterState()
-    spec = make_step(count=workers, lasting=True)
-    admit(cluster, make_job('job', spec))
+    step = make_step(count=workers, lasting=True)
+    admit(cluster, make_job('job', step))
     found = []
     for index in range(workers):
         worker = add_worker(cluster, f'w{index}')
@@ -297,44 +303,44 @@
     return found
 
 
-def test_leases_of_few_workers_at_once_are_left_to_run_out() -> None:
-    """An owner whose own orders get lost would end the work of all workers."""
-    workers = open_overdue(20)
+def test_only_few_workers_lose_their_leases_at_once() -> None:
+    """An owner whose own commands get lost would end all workers' tasks."""
+    workers = make_overdue_workers(20)
     health = WorkerHealth()
     assert health.review_leases(workers, 1.0 + STOP_TIMEOUT_SECONDS) == ([], [])
-    left, _ = health.review_leases(workers, 1.1 + STOP_TIMEOUT_SECONDS)
-    assert len(left) == MAX_QUARANTINED_SHARE * len(workers)
-    assert [w for w in workers if not w.renews_leases] == left
+    selected, _ = health.review_leases(workers, 1.1 + STOP_TIMEOUT_SECONDS)
+    assert len(selected) == MAX_QUARANTINED_SHARE * len(workers)
+    assert [w for w in workers if not w.renews_leases] == selected
 
 
-def test_leases_are_renewed_at_a_worker_that_was_not_heard() -> None:
-    """A worker that came back after a cut lost all its tasks for one stop."""
-    (worker,) = open_overdue(1)
+def test_leases_are_renewed_on_a_worker_that_was_unreachable() -> None:
+    """A worker that was unreachable lost all its tasks for an old stop."""
+    (worker,) = make_overdue_workers(1)
     worker.reachable = False
     now = 1.1 + STOP_TIMEOUT_SECONDS
     assert WorkerHealth().review_leases([worker], now) == ([], [])
     session = WorkerSession(
         worker,
         ClusterState(),
-        _LossyCalls(),
+        _LossyClient(),
         IgnoringListener(),
         6.0,
         lambda: now,
     )
 
-    async def play() -> None:
-        keeping = asyncio.create_task(session.run())
+    async def scenario() -> None:
+        session_task = asyncio.create_task(session.run())
         while not worker.reachable:
             await asyncio.sleep(0.0)
-        keeping.cancel()
+        session_task.cancel()
 
-    run(play())
+    run(scenario())
     assert WorkerHealth().review_leases([worker], now) == ([], [])
 
 
 def test_leases_are_renewed_again_once_nothing_is_left_to_stop() -> None:
-    """A worker on which a task ended by itself lost all its other tasks."""
-    workers = open_overdue(1)
+    """A worker lost all its tasks although the stopped one had ended."""
+    workers = make_overdue_workers(1)
     health = WorkerHealth()
     assert health.review_leases(workers, 1.1 + STOP_TIMEOUT_SECONDS) == (
         workers,
--- a/tests/test_worker_restarts.py
+++ b/tests/test_worker_restarts.py
@@ -1,4 +1,4 @@
-"""Workers that begin a new life under the id that they had."""
+"""Workers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 JOB = '0123456789abcdef'
 
 SETTLED_SECONDS = 2.5
-"""More than a reading of the registrations and a look at a worker."""
+"""Longer than a read of the registrations and a poll of a worker."""
 
 
 def count_starts(worker: FleetWorker) -> int:
-    """Counts the starts that a worker has carried out."""
+    """Counts the starts that a worker has executed."""
     return len(worker.started)
 
 
-def test_what_a_new_life_was_given_is_not_started_again(
+def test_tasks_of_a_new_incarnation_are_not_started_again(
     tmp_path: pathlib.Path,
 ) -> None:
-    """One restart of a worker was taken for two, and a task ran twice."""
+    """One restart of a worker was handled as two, and a task ran twice."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
                 worker.lasts.add('long')
             daemon = await platform.start()
-            # So small that its tasks are spread over the workers.
+            # Small enough for its tasks to be spread over the workers.
             await platform.submit(
                 daemon, JOB, 'long', count=2, cpu=100, longRunning=True
             )
@@ -48,4 +48,4 @@
             assert (count_starts(first), count_starts(other)) == (2, 1)
             assert await runs_everywhere()
 
-    run(play())
+    run(scenario())
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Leases that an owner gives to its workers."""
+"""Leases that an owner grants to its workers."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class IgnoringListener:
-    """Takes what a link tells, and forgets it."""
+    """A listener that ignores all callbacks."""
 
     def handle_lease_lost(self, reason: str) -> None:
         """See `SessionListener`."""
@@ -63,63 +63,69 @@
 
 
 def test_starts_to_a_worker_that_is_gone_do_not_renew_its_leases() -> None:
-    """Repeated starts to a lost worker kept its tasks away for good."""
+    """Repeated starts renewed a lost worker's leases: its tasks never moved."""
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
-    calls = WorkerClient(HttpClient(''), 1, 1.0)
+    client = WorkerClient(HttpClient(''), 1, 1.0)
     session = WorkerSession(
         worker,
         cluster,
-        calls,
+        client,
         IgnoringListener(),
         LEASE_SECONDS,
         clock.monotonic,
     )
     session.update_clock(1000)
     end = session.choose_lease_end()
-    lapses_at = worker.leases_expire_at
+    leases_expire_at = worker.leases_expire_at
     clock.advance(1.0)
     assert session.choose_lease_end() > end
-    assert worker.leases_expire_at > lapses_at
-    end, lapses_at = session.choose_lease_end(), worker.leases_expire_at
+    assert worker.leases_expire_at > leases_expire_at
+    end, leases_expire_at = session.choose_lease_end(), worker.leases_expire_at
     worker.reachable = False
     clock.advance(5.0)
     assert session.choose_lease_end() == end
-    assert worker.leases_expire_at == lapses_at
+    assert worker.leases_expire_at == leases_expire_at
 
 
 @attrs.define(eq=False)
-class Promise(IgnoringListener):
-    """Lets leases be renewed for the promised time; keeps what lapsed."""
+class ExpiringListener(IgnoringListener):
+    """Allows renewals until a time; collects the tasks that ended.
+
+    Attributes:
+      clock: The clock.
+      until: Monotonic time until which leases may be renewed.
+      ended_tasks: The tasks that ended.
+    """
 
     clock: ManualClock
     until: float
-    lapsed: list[Task] = attrs.Factory(list)
+    ended_tasks: list[Task] = attrs.Factory(list)
 
     def handle_tasks_ended(
         self, worker: Worker, tasks: list[Task], why: str
     ) -> None:
         """See `SessionListener`."""
-        self.lapsed += tasks
+        self.ended_tasks += tasks
 
     def may_renew(self) -> bool:
         """See `SessionListener`."""
         return self.clock.monotonic() < self.until
 
 
-class SilentCalls(WorkerClient):
-    """Calls without an answer, each of which takes a while.
+class UnansweredClient(WorkerClient):
+    """A client whose calls time out.
 
     Attributes:
-      ends: Ends of the leases that the starts carried.
-      looks: Answers to the first looks.
+      ends: Expiry times of the leases in the starts sent.
+      reports: Reports returned by the first polls.
     """
 
     def __init__(self, clock: ManualClock):
         super().__init__(HttpClient(''), 1, CALL_SECONDS)
         self.ends: list[int] = []
-        self.looks: list[WorkerReport] = []
+        self.reports: list[WorkerReport] = []
         self._clock = clock
 
     async def start(
@@ -135,38 +141,40 @@
     ) -> WorkerReport | CallStatus:
         """See `WorkerClient`."""
         self._clock.advance(CALL_SECONDS)
-        return self.looks.pop(0) if self.looks else CallStatus.UNKNOWN
+        return self.reports.pop(0) if self.reports else CallStatus.UNKNOWN
 
 
 @attrs.define(eq=False)
-class Pending:
-    """A worker with a task that lasts, and a start that gets no answer."""
+class PendingStart:
+    """A worker with a long-running task and a pending, unanswered start."""
 
     clock: ManualClock
-    lasting: Task
+    long_running: Task
     starting: Task
     session: WorkerSession
-    calls: SilentCalls
-    events: Promise
+    client: UnansweredClient
+    listener: ExpiringListener
 
 
-def open_pending(group: asyncio.TaskGroup, promise_seconds: float) -> Pending:
-    """Gives a worker's first leases, and sends the start for ever."""
+def open_pending_start(
+    group: asyncio.TaskGroup, renewal_seconds: float
+) -> PendingStart:
+    """Grants a worker its first leases, and keeps sending a start."""
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     admit(cluster, make_job('lasts', make_step(lasting=True)))
     admit(cluster, make_job('starts'))
-    lasting, starting = (
+    long_running, starting = (
         find_task(cluster, 'lasts'),
         find_task(cluster, 'starts'),
     )
-    run_task(cluster, lasting, worker, clock.monotonic())
+    run_task(cluster, long_running, worker, clock.monotonic())
     cluster.place([starting], worker, clock.monotonic())
-    events = Promise(clock, clock.monotonic() + promise_seconds)
-    calls = SilentCalls(clock)
+    listener = ExpiringListener(clock, clock.monotonic() + renewal_seconds)
+    client = UnansweredClient(clock)
     session = WorkerSession(
-        worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+        worker, cluster, client, listener, LEASE_SECONDS, clock.monotonic
     )
     session.update_clock(CLOCK_MS)
 
@@ -175,63 +183,65 @@
 
     commands = CommandSender(
         cluster,
-        calls,
+        client,
         {worker.id: session},
-        events,
+        listener,
         clock.monotonic,
         start_task,
         lambda task, worker: '',
         lambda: None,
     )
     commands.start(starting)
-    return Pending(clock, lasting, starting, session, calls, events)
+    return PendingStart(
+        clock, long_running, starting, session, client, listener
+    )
 
 
-def test_what_a_worker_that_is_gone_ran_is_freed_with_a_start_pending() -> None:
-    """A pending start kept a lost worker's tasks away for good."""
+def test_tasks_of_a_lost_worker_are_freed_with_a_start_pending() -> None:
+    """With a start pending, a lost worker's tasks never ran elsewhere."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with asyncio.TaskGroup() as group:
-            pending = open_pending(group, math.inf)
-            begun_at = pending.clock.monotonic()
-            keeping = group.create_task(pending.session.run())
-            while not pending.events.lapsed:
+            pending = open_pending_start(group, math.inf)
+            started_at = pending.clock.monotonic()
+            session_task = group.create_task(pending.session.run())
+            while not pending.listener.ended_tasks:
                 await asyncio.sleep(0.01)
-                passed = pending.clock.monotonic() - begun_at
-                assert passed < 3 * LEASE_SECONDS
-            assert pending.lasting in pending.events.lapsed
-            keeping.cancel()
+                elapsed = pending.clock.monotonic() - started_at
+                assert elapsed < 3 * LEASE_SECONDS
+            assert pending.long_running in pending.listener.ended_tasks
+            session_task.cancel()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_start_sent_again_gives_no_lease_beyond_the_promise() -> None:
-    """A repeated start gave a lease that the next owner did not wait for."""
+def test_a_repeated_start_grants_no_lease_after_renewals_end() -> None:
+    """A repeated start granted a lease that the next owner did not wait for."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with asyncio.TaskGroup() as group:
-            pending = open_pending(group, RENEW_WITHOUT_STORE_SECONDS)
-            while len(pending.calls.ends) < 8:
+            pending = open_pending_start(group, RENEW_WITHOUT_STORE_SECONDS)
+            while len(pending.client.ends) < 8:
                 await asyncio.sleep(0.01)
             pending.session.restart('the end of the test')
         last = CLOCK_MS + 1000 * (RENEW_WITHOUT_STORE_SECONDS + LEASE_SECONDS)
-        assert max(pending.calls.ends) <= last
+        assert max(pending.client.ends) <= last
 
-    run(play())
+    run(scenario())
 
 
-def test_a_start_does_not_end_the_leases_of_the_owner_before() -> None:
-    """What an owner before had started ran twice beside a worker's start."""
+def test_a_start_does_not_end_the_leases_of_the_previous_owner() -> None:
+    """Tasks of the previous owner ran twice after a start on their worker."""
     clock = ManualClock()
     cluster = ClusterState()
     worker = add_worker(cluster, 'w')
     worker.leases_expire_at = clock.monotonic() + LEASE_SECONDS
     inherited = worker.leases_expire_at
-    calls = SilentCalls(clock)
+    client = UnansweredClient(clock)
     session = WorkerSession(
         worker,
         cluster,
-        calls,
+        client,
         IgnoringListener(),
         LEASE_SECONDS,
         clock.monotonic,
@@ -241,55 +251,55 @@
     assert worker.leases_expire_at >= inherited
 
 
-def test_leases_that_are_not_known_are_waited_for() -> None:
-    """What a worker was found to run ran twice once the worker fell silent."""
+def test_unknown_leases_are_waited_for() -> None:
+    """Tasks found running on a worker ran twice once it was unreachable."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         clock = ManualClock()
         cluster = ClusterState()
         worker = add_worker(cluster, 'w')
         worker.has_answered = worker.reachable = False
-        calls = SilentCalls(clock)
-        calls.looks.append(make_report())
-        events = Promise(clock, clock.monotonic())
+        client = UnansweredClient(clock)
+        client.reports.append(make_report())
+        listener = ExpiringListener(clock, clock.monotonic())
         session = WorkerSession(
-            worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+            worker, cluster, client, listener, LEASE_SECONDS, clock.monotonic
         )
-        begun_at = clock.monotonic()
-        keeping = asyncio.create_task(session.run())
+        started_at = clock.monotonic()
+        session_task = asyncio.create_task(session.run())
         while not worker.has_answered:
             await asyncio.sleep(0.0)
-        keeping.cancel()
+        session_task.cancel()
         assert (
-            worker.leases_expire_at >= begun_at + CALL_SECONDS + LEASE_SECONDS
+            worker.leases_expire_at >= started_at + CALL_SECONDS + LEASE_SECONDS
         )
 
-    run(play())
+    run(scenario())
 
 
 def test_inherited_leases_are_waited_for_after_a_single_answer() -> None:
-    """A worker that answered once and fell silent was given up too soon."""
+    """A worker unreachable after one answer lost its tasks too early."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         clock = ManualClock()
         cluster = ClusterState()
         worker = add_worker(cluster, 'w')
         admit(cluster, make_job('lasts', make_step(lasting=True)))
-        lasting = find_task(cluster, 'lasts')
-        lasting.run = 1
-        cluster.restore_placed(lasting, worker)
+        long_running = find_task(cluster, 'lasts')
+        long_running.run = 1
+        cluster.restore_placed(long_running, worker)
         worker.leases_expire_at = clock.monotonic() + LEASE_SECONDS
         inherited = worker.leases_expire_at
-        calls = SilentCalls(clock)
-        calls.looks.append(make_report((make_running(lasting, 1),)))
-        events = Promise(clock, clock.monotonic())
+        client = UnansweredClient(clock)
+        client.reports.append(make_report((make_running(long_running, 1),)))
+        listener = ExpiringListener(clock, clock.monotonic())
         session = WorkerSession(
-            worker, cluster, calls, events, LEASE_SECONDS, clock.monotonic
+            worker, cluster, client, listener, LEASE_SECONDS, clock.monotonic
         )
-        keeping = asyncio.create_task(session.run())
-        while not events.lapsed:
+        session_task = asyncio.create_task(session.run())
+        while not listener.ended_tasks:
             await asyncio.sleep(0.01)
-        keeping.cancel()
+        session_task.cancel()
         assert clock.monotonic() > inherited
 
-    run(play())
+    run(scenario())
