--- a/lentilmount/control/store_health.py
+++ b/lentilmount/control/store_health.py
@@ -1,4 +1,8 @@
-"""Whether the table service answers this daemon, and the others."""
+"""Detects outages of the table service, for this daemon and for all daemons.
+
+A daemon that alone can't reach the store will be replaced as an owner, while in
+an outage for all of them work goes on; the daemons ask each other which it is.
+"""
 
 from __future__ import annotations
 
@@ -18,67 +22,67 @@
 log = logbook.Logger('store')
 
 OUTAGE_SECONDS = 0.8
-"""Without a good answer for so long, and with a call that failed since, the
-table counts as away. An owner renews its lease every 0.5 s."""
+"""Time without a successful answer, with a failed call since, after which the
+store counts as unreachable. An owner renews its lease every 0.5 s."""
 
 CUT_OFF_SECONDS = 1.2
-"""Without a good answer for so long, and no general outage confirmed, a daemon
-is cut off: long enough for the others to be asked twice."""
+"""Time without a successful answer, and without a confirmed outage for all,
+after which a daemon is cut off. Allows for two rounds of polling its peers."""
 
-ANSWERS_SECONDS = 1.0
-"""How long the other daemons' answers are believed: they are asked every
-0.2 s for as long as the store does not answer here."""
+PEER_ANSWERS_VALID_SECONDS = 1.0
+"""How long the answers of peers are used. They are polled every 0.2 s while
+the store does not answer this daemon."""
 
-QUIET_SECONDS = 1.0
-"""Without a call about a part for so long a daemon probes it. Otherwise it
-would know of no outage, and tell the daemons that ask that there is none."""
+IDLE_SECONDS = 1.0
+"""Time without calls about a part of the store after which it is probed.
+Otherwise an idle daemon would tell its peers that there is no outage."""
 
-OLDEST_AGE = 1e9
-"""Told for a store that has never answered: JSON has no infinity."""
+MAX_AGE = 1e9
+"""Age reported when the store has never answered; JSON has no infinity."""
 
-HEAR_SECONDS = 1.0
-"""For the answer of a larger host to an owner whose link may be full: calls
-took up to 0.4 s there."""
+MAY_OWN_TIMEOUT_SECONDS = 1.0
+"""Timeout for asking a larger host whether it can own a service. Calls took
+up to 0.4 s when the asking owner's network link was saturated."""
 
-PEER_SECONDS = 0.3
-"""For a peer's answer: many times the way between zones (1.5 ms)."""
+PEER_TIMEOUT_SECONDS = 0.3
+"""Timeout for polling a peer; the network latency between zones is 1.5 ms."""
 
 
 @attrs.define
 class StoreHealth:
-    """What this daemon's direct calls about one part of the store tell.
+    """Tracks the outcome of this daemon's direct calls to a part of the store.
 
-    A service's rows are in one part, and parts fail one by one: answers about
-    others must not hide that this one is away.
+    The rows of a service are in one part. Parts fail independently, so answers
+    from other parts must not hide the failure of this one.
 
     Attributes:
-      monotonic: The clock for durations.
-      part: Which part.
+      monotonic: Returns monotonic time in seconds.
+      part: Name of the part.
     """
 
     monotonic: Callable[[], float]
     part: str
-    _good_at: float = -math.inf
+    _answered_at: float = -math.inf
     _has_failed: bool = False
     _is_down: bool = False
     _called_at: float = -math.inf
 
-    def record(self, is_good: bool, took: float = 0.0) -> None:
-        """Takes in whether a call was answered.
+    def record(self, is_answered: bool, took: float = 0.0) -> None:
+        """Records the outcome of a call.
 
-        A call that was sent before the last good answer tells nothing new by
-        its failure: it may have waited for a store that is back since.
+        The failure of a call that was sent before the last successful answer
+        is ignored: the store may have recovered while it was pending.
 
         Args:
-          is_good: Whether it was.
-          took: Seconds from its sending until now.
+          is_answered: Whether a working service answered.
+          took: Duration of the call in seconds.
         """
         now = self.monotonic()
         self._called_at = now
-        if not is_good and now - took < self._good_at:
+        if not is_answered and now - took < self._answered_at:
             return
-        if is_good:
-            self._good_at = now
+        if is_answered:
+            self._answered_at = now
             self._has_failed = False
             if self._is_down:
                 log.info('Answers again.', extra={'store_part': self.part})
@@ -94,84 +98,87 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the last good answer; 0 if no call failed since."""
+        """Seconds since the last successful answer; 0 if no call has failed."""
         if not self._has_failed:
             return 0.0
-        return self.monotonic() - self._good_at
+        return self.monotonic() - self._answered_at
 
     @property
     def is_idle(self) -> bool:
-        """Whether no call was made for a while."""
-        return self.monotonic() - self._called_at > QUIET_SECONDS
+        """Whether no call was made for `IDLE_SECONDS`."""
+        return self.monotonic() - self._called_at > IDLE_SECONDS
 
     @property
     def has_answered(self) -> bool:
-        """Whether there was a good answer ever."""
-        return self._good_at > -math.inf
+        """Whether the store has ever answered."""
+        return self._answered_at > -math.inf
 
     @property
     def is_down(self) -> bool:
-        """Whether a call now would only wait in vain."""
+        """Whether direct calls have failed for `OUTAGE_SECONDS`."""
         return self._is_down
 
 
 @attrs.define
 class PeerList:
-    """The daemons, as far as they are known here.
+    """The internal addresses of the known daemons.
 
     Attributes:
-      own: This daemon's internal address.
-      known: Internal addresses of all daemons.
+      own: Address of this daemon.
+      known: Addresses of all daemons.
     """
 
     own: str
     known: tuple[str, ...] = ()
 
     def list_others(self) -> list[str]:
-        """Lists the addresses of the other daemons."""
+        """Returns the addresses of the other daemons."""
         return [address for address in self.known if address != self.own]
 
 
 @attrs.define
 class OutageDetector:
-    """Tells an outage for all daemons from one of this daemon alone.
+    """Distinguishes a general outage of the store from a local one.
 
-    An owner that alone cannot reach the store will be replaced and must not
-    start anything more. If no daemon reaches it, nobody can replace the owner,
-    and work goes on. Only the other daemons can tell which it is.
+    An owner that alone can't reach the store will be replaced and must not
+    start any more tasks. If no daemon can reach it, nobody can replace the
+    owner, and work goes on. Only the other daemons know which is the case.
 
     Attributes:
-      health: What this daemon knows itself.
-      caller: Sends the questions.
-      peers: The daemons.
+      health: Outcome of this daemon's own calls.
+      http_client: Sends requests to peers.
+      peers: The known daemons.
     """
 
     health: StoreHealth
-    caller: HttpClient
+    http_client: HttpClient
     peers: PeerList
     _confirmed_at: float = -math.inf
-    _asked_at: float = -math.inf
+    _polled_at: float = -math.inf
     _ages: dict[str, float] = attrs.Factory(dict)
 
     def is_general(self) -> bool:
-        """Whether the store was away for all a moment ago."""
-        passed = self.health.monotonic() - self._confirmed_at
-        return self.is_suspected and passed < OUTAGE_SECONDS
+        """Returns whether the store was just unreachable for all daemons."""
+        elapsed = self.health.monotonic() - self._confirmed_at
+        return self.is_suspected and elapsed < OUTAGE_SECONDS
 
     def outage_until(self) -> float:
-        """Monotonic time up to which the store was surely away for all.
+        """Returns until when the store was certainly unreachable for all.
+
+        A peer whose probe was pending when the store recovered reports an
+        outage until that probe has failed and the next one is answered.
 
-        A daemon whose probe was on its way as the store came back still says
-        that it is away, until that probe has failed and the next is answered.
+        Returns:
+          Monotonic time in seconds.
         """
         return self._confirmed_at - OUTAGE_SECONDS
 
     def is_cut_off(self) -> bool:
-        """Whether the store answers others and cannot be reached through them.
+        """Returns whether only this daemon can't reach the store, by any route.
 
-        Such a daemon can accept nothing, while others can; out of the
-        balancer's rotation it takes no new clients from them. In a general
-        outage all stay in: there is nobody better to ask.
+        Such a daemon can accept no jobs and leaves the load balancer's
+        rotation, so that new clients reach other daemons. In a general outage
+        all daemons stay in rotation, as none of them does better.
         """
         return (
             self.health.age > CUT_OFF_SECONDS
@@ -181,68 +188,74 @@
 
     @property
     def is_suspected(self) -> bool:
-        """Whether the store seems not to answer this daemon."""
+        """Whether direct calls of this daemon seem to fail."""
         return self.health.age > OUTAGE_SECONDS
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether a call now would only wait in vain."""
+        """Whether neither direct nor relayed calls can succeed now."""
         return self.health.is_down and not self.list_relays()
 
     def list_relays(self) -> list[str]:
-        """Lists the daemons that may reach the store while this one cannot.
+        """Returns the peers that may reach the store, in random order.
 
-        Just after the first failure nobody has been asked, and any may do.
+        Just after the first failure no peer has been polled yet, so all of
+        them are returned.
         """
         if self.is_general():
             return []
-        passed = self.health.monotonic() - self._asked_at
-        helpers = self.peers.list_others()
-        if passed < ANSWERS_SECONDS:
-            helpers = [
+        elapsed = self.health.monotonic() - self._polled_at
+        relays = self.peers.list_others()
+        if elapsed < PEER_ANSWERS_VALID_SECONDS:
+            relays = [
                 peer for peer, age in self._ages.items() if age < OUTAGE_SECONDS
             ]
-        random.shuffle(helpers)
-        return helpers
+        random.shuffle(relays)
+        return relays
 
     async def poll_peers(self) -> None:
-        """Asks the other daemons."""
+        """Asks all other daemons whether the store answers them.
+
+        A general outage is confirmed if a majority of the daemons, this one
+        included, answers and the store is unreachable for all of these.
+        """
         others = self.peers.list_others()
-        asked_at = self.health.monotonic()
+        polled_at = self.health.monotonic()
         answers = await asyncio.gather(*map(self._ask_peer, others))
-        self._asked_at = asked_at
+        self._polled_at = polled_at
         self._ages = {
             peer: age
             for peer, age in zip(others, answers, strict=True)
             if age is not None
         }
-        known = list(self._ages.values())
-        away = all(age > OUTAGE_SECONDS for age in known)
-        if away and 2 * (len(known) + 1) > len(others) + 1:
-            self._confirmed_at = asked_at
+        ages = list(self._ages.values())
+        is_unreachable_for_all = all(age > OUTAGE_SECONDS for age in ages)
+        if is_unreachable_for_all and 2 * (len(ages) + 1) > len(others) + 1:
+            self._confirmed_at = polled_at
 
     def make_report(self) -> dict[str, Any]:
         """Returns the report for other daemons (`may_own`, `poll_peers`)."""
-        age = min(self.health.age, OLDEST_AGE)
+        age = min(self.health.age, MAX_AGE)
         return {'age': age, 'may_own': self.health.has_answered}
 
     async def may_own(self, address: str) -> bool:
-        """Asks another daemon whether it can own what is in this part.
+        """Returns whether another daemon can own the service of this part.
 
-        It can if the store has answered it, does so still, and it is not being
-        stopped: one that has just been started has no failure to tell of.
+        It can if it is not shutting down and the store has answered it at
+        least once and still does; a daemon that just started has seen no
+        failure, but no answer either.
         """
-        report = await self._call_peer(address, HEAR_SECONDS)
+        report = await self._call_peer(address, MAY_OWN_TIMEOUT_SECONDS)
         age = report.get('age', math.inf)
         return bool(report.get('may_own')) and age < OUTAGE_SECONDS
 
     async def _ask_peer(self, address: str) -> float | None:
-        report = await self._call_peer(address, PEER_SECONDS)
+        report = await self._call_peer(address, PEER_TIMEOUT_SECONDS)
         return report.get('age')
 
     async def _call_peer(self, address: str, timeout: float) -> dict[str, Any]:
         query = urllib.parse.urlencode({'part': self.health.part})
-        answer = await self.caller.call(
+        answer = await self.http_client.call(
             'GET',
             f'/store?{query}',
             timeout=timeout,
@@ -254,12 +267,12 @@
             report = orjson.loads(answer.body)
             return {**report, 'age': float(report['age'])}
         except (ValueError, TypeError, KeyError) as error:
-            log.warning('Answer of {} cannot be read: {!r}', address, error)
+            log.warning('Answer of {} is malformed: {!r}', address, error)
             return {}
 
 
 FindOutageDetector = Callable[[str], OutageDetector]
-"""Finds what is known of a part of the store."""
+"""Returns the outage detector of a part of the store."""
 
 Probe = Callable[[str], Awaitable[None]]
 
@@ -267,33 +280,38 @@
 async def poll_peers_in_outage(
     outage_detectors: Mapping[str, OutageDetector], pause: float
 ) -> None:
-    """Asks the other daemons for as long as the store does not answer."""
+    """Polls the other daemons while the store does not answer this one.
+
+    Args:
+      outage_detectors: The detectors, by part of the store.
+      pause: Seconds between two rounds.
+    """
     while True:
         suspected = [o for o in outage_detectors.values() if o.is_suspected]
-        await asyncio.gather(*(outage.poll_peers() for outage in suspected))
+        await asyncio.gather(*(detector.poll_peers() for detector in suspected))
         await asyncio.sleep(pause)
 
 
 async def probe_store(
     outage_detectors: Mapping[str, OutageDetector], probe: Probe, pause: float
 ) -> None:
-    """Makes direct calls while the store does not answer, or nobody calls it.
+    """Makes direct calls to parts of the store that fail or are idle.
 
-    While it does not answer all other calls go through other daemons, and
-    would not notice that the store answers here again. Apart from
-    `poll_peers_in_outage`: a call to a silent store takes long enough to let
-    the other daemons' answers grow old.
+    While a part fails all other calls are relayed through peers, and would not
+    detect that it answers this daemon again. This is a loop of its own, as a
+    probe may block for its whole timeout, and the answers from
+    `poll_peers_in_outage` would become too old meanwhile.
 
     Args:
-      outage_detectors: What is known, by part of the store.
-      probe: Makes a direct call about a part.
+      outage_detectors: The detectors, by part of the store.
+      probe: Makes a direct call to a part.
       pause: Seconds between two rounds.
     """
     while True:
         due = [
             part
-            for part, outage in outage_detectors.items()
-            if outage.is_suspected or outage.health.is_idle
+            for part, detector in outage_detectors.items()
+            if detector.is_suspected or detector.health.is_idle
         ]
         await asyncio.gather(*map(probe, due))
         await asyncio.sleep(pause)
--- a/lentilmount/control/store_relay.py
+++ b/lentilmount/control/store_relay.py
@@ -1,9 +1,9 @@
-"""Reaching the store through another daemon.
+"""Sends calls to the store through another daemon.
 
-The store can turn one daemon away for seconds and answer the others. Without
-a detour such a daemon refuses its clients although there is room, and an
-owner is replaced: about 3.5 s without a start, measured from its last write
-to the first start of the next owner.
+The store can reject one daemon for seconds while it answers the others. Without
+a relay such a daemon would refuse its clients although there is capacity, and
+an owner would be replaced: about 3.5 s without a start, from its last write to
+the first start by the next owner.
 """
 
 from __future__ import annotations
@@ -25,50 +25,56 @@
 log = logbook.Logger('detour')
 
 RELAY_PREFIX = '/relayed'
-"""Before the path of a call that is sent for another daemon."""
+"""Prefix of the path of a call that is relayed for another daemon."""
 
 PART_HEADER = 'Lentilmount-Part'
 TIMEOUT_HEADER = 'Lentilmount-Timeout-Ms'
 
-WAY_SECONDS = 0.1
-"""For the way to the other daemon, beside the call's own time."""
+HOP_SECONDS = 0.1
+"""Added to a call's timeout for the hop to the other daemon."""
 
-READ_AHEAD_SECONDS = 1.0
-"""For the other daemon to receive a long answer, which it passes on whole."""
+LONG_ANSWER_HOP_SECONDS = 1.0
+"""The same for a long answer, which the other daemon receives whole before it
+sends any of it."""
 
-QUIET_SECONDS = 2.0
-"""Without a use for so long the next one is told as a new beginning; a daemon
-has a call to the store every half second."""
+LOG_AGAIN_SECONDS = 2.0
+"""Time without a relayed call after which the next one is logged again; a
+daemon calls the store every half second."""
 
 
 @attrs.define
 class PeerRelay:
-    """The way to the store through the other daemons.
+    """A `StoreRelay` through the other daemons.
 
     Attributes:
-      caller: Sends calls to them.
-      find_outage_detector: Tells which of them may reach the store.
-      monotonic: The clock for durations.
+      http_client: Sends calls to them.
+      find_outage_detector: Returns the outage detector of a part of the store,
+        which lists the daemons that may reach it.
+      monotonic: Returns monotonic time in seconds.
     """
 
-    caller: HttpClient
+    http_client: HttpClient
     find_outage_detector: FindOutageDetector
     monotonic: Callable[[], float]
-    _used_at: dict[str, float] = attrs.Factory(dict)
+    _last_used_at: dict[str, float] = attrs.Factory(dict)
 
     def is_preferred(self, part: str) -> bool:
         """See `StoreRelay`."""
-        outage = self.find_outage_detector(part)
-        return outage.is_suspected and bool(outage.list_relays())
+        detector = self.find_outage_detector(part)
+        return detector.is_suspected and bool(detector.list_relays())
 
     async def send(self, call: StoreCall) -> HttpResponse | None:
         """See `StoreRelay`."""
-        helpers = self.find_outage_detector(call.part).list_relays()
-        if not helpers:
+        relays = self.find_outage_detector(call.part).list_relays()
+        if not relays:
             return None
-        helper = helpers[0]
-        way = WAY_SECONDS if call.total_timeout is None else READ_AHEAD_SECONDS
-        answer = await self.caller.call(
+        peer = relays[0]
+        hop_seconds = (
+            HOP_SECONDS
+            if call.total_timeout is None
+            else LONG_ANSWER_HOP_SECONDS
+        )
+        answer = await self.http_client.call(
             call.method,
             RELAY_PREFIX + call.path,
             call.body,
@@ -77,21 +83,21 @@
                 PART_HEADER: call.part,
                 TIMEOUT_HEADER: str(int(1000 * call.timeout)),
             },
-            timeout=call.timeout + way,
+            timeout=call.timeout + hop_seconds,
             total_timeout=call.total_timeout,
-            base=f'http://{helper}',
+            base=f'http://{peer}',
         )
-        self._note(call.part, helper, answer.status)
+        self._log_use(call.part, peer, answer.status)
         if answer.status in (*ANSWERED_STATUSES, *REFUSED_STATUSES):
             return answer
         return HttpResponse(CURL_ERROR, answer.body, {})
 
-    def _note(self, part: str, helper: str, status: int) -> None:
-        """Logs when the detour begins; `StoreHealth` tells when it ends."""
+    def _log_use(self, part: str, peer: str, status: int) -> None:
+        """Logs when relaying begins; `StoreHealth` logs when it ends."""
         now = self.monotonic()
-        if now - self._used_at.get(part, -math.inf) > QUIET_SECONDS:
+        if now - self._last_used_at.get(part, -math.inf) > LOG_AGAIN_SECONDS:
             log.warning(
                 'The store is reached through another daemon.',
-                extra={'store_part': part, 'daemon': helper, 'status': status},
+                extra={'store_part': part, 'daemon': peer, 'status': status},
             )
-        self._used_at[part] = now
+        self._last_used_at[part] = now
--- a/lentilmount/platform/calls.py
+++ b/lentilmount/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the table service, and the ways on which they are sent."""
+"""Calls to the table service, and the interface for relaying them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from lentilmount.upstream.http import HttpResponse
 
 ANSWERED_STATUSES = (200, 410, 412)
-"""HTTP statuses of a service that works."""
+"""HTTP statuses with which a working table service answers."""
 
 REFUSED_STATUSES = (429, 503)
-"""HTTP statuses that tell that nothing was done."""
+"""HTTP statuses with which the table service rejects a call unexecuted."""
 
 
 @attrs.frozen
@@ -20,14 +20,14 @@
     """A call to the table service.
 
     Attributes:
-      part: Which part of a table it is about; '' for a whole table.
+      part: Part of the table that it addresses; '' for a whole table.
       method: The HTTP method.
       path: Path and query.
-      body: Body, if any.
-      timeout: Seconds to wait for an answer, or for more of one that was
-        read in part.
-      total_timeout: Seconds for an answer that keeps arriving; None for
-        `timeout`.
+      body: Request body, or None.
+      timeout: Timeout of the call in seconds; with `total_timeout`, longest
+        time without any data.
+      total_timeout: Longest time in seconds for an answer that keeps arriving;
+        None if `timeout` bounds the whole call.
     """
 
     part: str
@@ -39,17 +39,22 @@
 
 
 class StoreRelay(Protocol):
-    """Another way to the table service."""
+    """Another route to the table service."""
 
     def is_preferred(self, part: str) -> bool:
-        """Whether the direct way is known to fail."""
+        """Returns whether direct calls are known to fail."""
 
     async def send(self, call: StoreCall) -> HttpResponse | None:
-        """Returns an answer, 599 if it was lost; None if there is no way."""
+        """Sends a call through the relay.
+
+        Returns:
+          The answer, with status 599 if it was lost; None if the call was not
+          sent, as no relay is available.
+        """
 
 
 class NoRelay:
-    """The direct way is the only one."""
+    """A relay that is never available."""
 
     def is_preferred(self, part: str) -> bool:
         """See `StoreRelay`."""
--- a/lentilmount/platform/store.py
+++ b/lentilmount/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's table service, as the `Table` that everything stands on."""
+"""Client of the outer platform's table service, as a `Table`."""
 
 from __future__ import annotations
 
@@ -36,49 +36,50 @@
 WORKERS_TABLE = 'servers'
 
 SEPARATOR = '/'
-"""Between table and part in the partition of a `Key`."""
+"""Separates table and part in the partition of a `Key`."""
 
-LEAST_WAY_SECONDS = 0.1
-"""Time below which a second way is not tried: a call that ran into its timeout
-has used up what its caller waits for."""
+MIN_ROUTE_SECONDS = 0.1
+"""Remaining time below which a call is not sent on a second route: the first
+one has used up the timeout."""
 
 PAGE_ROWS = 150
-"""Most rows asked for in one answer; the service gives 500. Jobs of 1.1 kB take
-a link of 5 Mbit/s 0.27 s. Fewer would cost a new owner more answers from a slow
-store."""
+"""Rows requested per answer; the service allows 500. 150 jobs of 1.1 kB take
+0.27 s on a link of 5 Mbit/s. With fewer rows, a new owner would need more calls
+to a slow store."""
 
 PROBE_KEY = '~'
-"""Sorts after all keys in use, so that the answer to a probe holds no row. The
-configuration's would take longer on a small link than a probe may."""
+"""Sorts after all keys in use, so that the answer to a probe has no rows. The
+configuration's row would exceed the timeout of a probe on a small link."""
 
 READ_SECONDS = 5.0
-"""Longest time for an answer to a reading that keeps arriving. The longest row,
-a configuration of a thousand routes, takes the smallest link (5 Mbit/s) half a
-second alone, and several times that beside everything else there."""
+"""Longest time for the answer to a read while it keeps arriving. The longest
+row, a configuration of a thousand routes, takes half a second on the smallest
+link (5 Mbit/s) if idle, and several times that beside other traffic."""
 
-Observe = Callable[[str, int, bool, float], None]
-"""Takes the part that a call was about ('' for a whole table), the HTTP status,
-whether that is an answer of a service that works, and the seconds it took."""
+CallObserver = Callable[[str, int, bool, float], None]
+"""Called after each direct call with the part that it addressed ('' for a whole
+table), the HTTP status, whether a working service answered, and the duration in
+seconds."""
 
 
 class RefusedError(UnavailableError):
-    """The service refused a call; nothing was done."""
+    """The service rejected a call without executing it."""
 
 
 class HistoryLostError(UnavailableError):
-    """The feed cannot go on from where it was; read everything again."""
+    """The service no longer has the requested changes; read all rows again."""
 
 
 @attrs.frozen
 class RawRow:
-    """A row as others write it.
+    """A row with an undecoded value.
 
     Attributes:
-      key: Its key.
-      value: Its bytes; empty if it was removed.
+      key: Key within its part.
+      value: Value in bytes; empty if the row was removed.
       version: Version of the store at its last write.
-      removed: Whether it is gone.
-      part: Its part of the table; a feed tells of all parts.
+      removed: Whether the row was removed.
+      part: Part of the table; a feed covers all parts.
     """
 
     key: str
@@ -90,12 +91,12 @@
 
 @attrs.frozen
 class Changes:
-    """Rows as of one version of the store.
+    """Rows as of a version of the store.
 
     Attributes:
       rows: The rows.
-      version: The version.
-      has_more: Whether there are more rows than the answer could hold.
+      version: Version of the store.
+      has_more: Whether more rows follow than fit into the answer.
     """
 
     rows: tuple[RawRow, ...]
@@ -104,7 +105,7 @@
 
 
 def make_partition(table: str, part: str = '') -> str:
-    """Returns the partition of a `Key` for a table's part."""
+    """Returns the partition of a `Key` for a part of a table."""
     return f'{table}{SEPARATOR}{part}'
 
 
@@ -133,38 +134,38 @@
 
 
 def decode_row(key: Key, raw: RawRow) -> Row:
-    """Decodes a row that this system wrote.
+    """Decodes a row that was written by `PlatformTable.transact`.
 
     Raises:
-      ValueError: It did not write it.
+      ValueError: The value has another format.
     """
     token, body = orjson.loads(raw.value)
     return Row(key, raw.version, token, body)
 
 
 class PlatformTable:
-    """Calls to the table service.
+    """Client of the table service.
 
     Args:
-      caller: Sends the calls.
-      timeout: Seconds for a call.
-      observe: Told of each direct call; see `Observe`.
-      relay: Another way, taken where the direct one fails.
-      write_timeout: Seconds for a transaction; `timeout` if None.
+      http_client: Sends the direct calls.
+      timeout: Timeout of a call, in seconds.
+      observe: Called after each direct call; see `CallObserver`.
+      relay: Another route to the service, used when direct calls fail.
+      write_timeout: Timeout of a transaction in seconds; None for `timeout`.
     """
 
     def __init__(
         self,
-        caller: HttpClient,
+        http_client: HttpClient,
         timeout: float,
-        observe: Observe = lambda part, status, is_good, took: None,
+        observe: CallObserver = lambda part, status, is_answered, took: None,
         relay: StoreRelay | None = None,
         write_timeout: float | None = None,
     ):
-        self._caller = caller
+        self._http_client = http_client
         self._timeout = timeout
         self._observe = observe
-        self._detour = relay or NoRelay()
+        self._relay = relay or NoRelay()
         self._write_timeout = write_timeout or timeout
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
@@ -187,7 +188,7 @@
         return [decode_row(Key(partition, raw.key), raw) for raw in found.rows]
 
     async def transact(self, token: str, operations: list[Operation]) -> int:
-        """See `Table`; each row carries the token of its last write."""
+        """See `Table`; each row stores the token of its last write."""
         body: dict[str, list[dict[str, Any]]] = {
             'precondition': [],
             'writes': [],
@@ -206,15 +207,19 @@
                 body['removals'].append(address)
             else:
                 assert isinstance(operation, Check)
-        extra = self._write_timeout - self._timeout
-        answer = await self._call('POST', '/rows-tx', body, extra, part)
+        extra_seconds = self._write_timeout - self._timeout
+        answer = await self._call('POST', '/rows-tx', body, extra_seconds, part)
         document = orjson.loads(answer.body)
         if answer.status == 412:
             raise ConflictError(_list_failed(operations, document))
         return int(document['ver'])
 
     async def read_all(self, table: str, part: str = '') -> Changes:
-        """Reads a part as of one moment, if it fits into one answer."""
+        """Reads all rows of a part.
+
+        They are a consistent snapshot only if they fit into one answer; changes
+        after the returned version come from `follow`.
+        """
         return await self._list(table, part)
 
     async def _list(
@@ -224,21 +229,21 @@
         after: str = '',
         limit: float = math.inf,
     ) -> Changes:
-        """Reads rows of a part, answer by answer, in the order of their keys.
+        """Reads rows of a part in pages, in the order of their keys.
 
-        An answer may hold fewer rows than were asked for, as it is also bound
-        in bytes; only the service knows whether more follow.
+        A page may have fewer rows than requested, as the service also limits
+        its bytes; only `has_more` shows whether rows follow.
 
         Returns:
-          The rows, and the version of the first answer: what changes since
-          is told by the feed.
+          The rows, and the version of the first page: the feed has all changes
+          after it.
         """
         rows: list[RawRow] = []
         version = 0
         while len(rows) < limit:
             start = after + '\0' if after else ''
-            most = int(min(PAGE_ROWS, limit - len(rows)))
-            page = await self._get(table, part, start, '', most)
+            page_rows = int(min(PAGE_ROWS, limit - len(rows)))
+            page = await self._get(table, part, start, '', page_rows)
             rows.extend(page.rows)
             version = version or page.version
             if not page.rows or not page.has_more:
@@ -247,16 +252,21 @@
         return Changes(tuple(rows), version)
 
     async def follow(self, table: str, after: int, wait: float) -> Changes:
-        """Waits for rows of a table that changed after a version.
+        """Returns the rows of a table that changed after a version.
+
+        Args:
+          table: Name of the table.
+          after: The version.
+          wait: Longest time in seconds to wait for a change.
 
         Raises:
-          HistoryLostError: That version is no longer kept.
-          UnavailableError: No answer.
+          HistoryLostError: The service no longer has the changes since then.
+          UnavailableError: The service did not answer.
         """
         wait_ms = int(wait * 1000)
         path = f'/rows-feed?table={table}&after={after}&waitMs={wait_ms}'
         answer = await self._call(
-            'GET', path, extra=wait, total_timeout=READ_SECONDS
+            'GET', path, extra_seconds=wait, total_timeout=READ_SECONDS
         )
         document = orjson.loads(answer.body)
         rows = tuple(_decode_raw(row) for row in document.get('rows') or ())
@@ -281,7 +291,7 @@
         return Changes(rows, int(document['ver']), has_more)
 
     def make_probe(self, partition: str) -> StoreCall:
-        """Returns a cheap call that shows whether a part answers."""
+        """Returns a call with a short answer, to test whether a part works."""
         table, part = _split(partition)
         query = urllib.parse.urlencode(
             {'table': table, 'part': part, 'limit': 1, 'from': PROBE_KEY}
@@ -289,10 +299,10 @@
         return StoreCall(part, 'GET', f'/rows-get?{query}', None, self._timeout)
 
     async def send_directly(self, call: StoreCall) -> HttpResponse:
-        """Sends a call; never raises for a status or a failure."""
+        """Sends a call without the relay; returns failures as a status."""
         clock = asyncio.get_running_loop()
         sent_at = clock.time()
-        answer = await self._caller.call(
+        answer = await self._http_client.call(
             call.method,
             call.path,
             call.body,
@@ -300,29 +310,29 @@
             timeout=call.timeout,
             total_timeout=call.total_timeout,
         )
-        is_good = answer.status in ANSWERED_STATUSES
+        is_answered = answer.status in ANSWERED_STATUSES
         took = clock.time() - sent_at
-        self._observe(call.part, answer.status, is_good, took)
+        self._observe(call.part, answer.status, is_answered, took)
         return answer
 
     async def _send(self, call: StoreCall) -> HttpResponse:
-        """Sends a call on the ways that there are, until one has an answer.
+        """Sends a call on each route until one gets an answer.
 
-        If none has, and one may have delivered the call, its effect is not
-        known, whatever the other one was told.
+        If none does, a failure that leaves the call's effect unknown takes
+        precedence over a rejection on the other route.
         """
-        ways: list[Callable[[StoreCall], Awaitable[HttpResponse | None]]]
-        ways = [self.send_directly, self._detour.send]
-        if self._detour.is_preferred(call.part):
-            ways.reverse()
+        routes: list[Callable[[StoreCall], Awaitable[HttpResponse | None]]]
+        routes = [self.send_directly, self._relay.send]
+        if self._relay.is_preferred(call.part):
+            routes.reverse()
         clock = asyncio.get_running_loop()
         end = clock.time() + call.timeout
         failures: list[HttpResponse] = []
-        for send in ways:
-            left = end - clock.time()
-            if failures and left < LEAST_WAY_SECONDS:
+        for send in routes:
+            remaining = end - clock.time()
+            if failures and remaining < MIN_ROUTE_SECONDS:
                 break
-            answer = await send(attrs.evolve(call, timeout=left))
+            answer = await send(attrs.evolve(call, timeout=remaining))
             if answer is not None and answer.status in ANSWERED_STATUSES:
                 return answer
             if answer is not None:
@@ -336,13 +346,18 @@
         method: str,
         path: str,
         body: Any = None,
-        extra: float = 0.0,
+        extra_seconds: float = 0.0,
         part: str = '',
         total_timeout: float | None = None,
     ) -> HttpResponse:
         data = None if body is None else orjson.dumps(body)
         call = StoreCall(
-            part, method, path, data, self._timeout + extra, total_timeout
+            part,
+            method,
+            path,
+            data,
+            self._timeout + extra_seconds,
+            total_timeout,
         )
         answer = await self._send(call)
         if answer.status in (200, 412):
@@ -359,7 +374,7 @@
 def _list_failed(
     operations: list[Operation], document: dict[str, Any]
 ) -> tuple[Key, ...]:
-    """Finds the rows whose version is not the one expected."""
+    """Returns the keys of rows whose version differs from the expected one."""
     current = {
         (row['table'], row.get('part') or '', row['key']): int(row['ver'])
         for row in document.get('rows') or ()
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -1,4 +1,4 @@
-"""Accepting jobs while the table service is slow."""
+"""Submissions while the table service is slow."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 @attrs.define(eq=False)
-class _SlowCaller(HttpClient):
-    """Answers each call after some time.
+class _SlowHttpClient(HttpClient):
+    """An HTTP client that answers each call after a delay.
 
     Attributes:
-      seconds: The time.
-      timeouts: What the calls were given.
+      seconds: The delay.
+      timeouts: Timeouts of the calls.
     """
 
     seconds: float
@@ -39,17 +39,19 @@
 PUT = Put(Key('jobs/a', 'x'), {}, 0)
 
 
-def test_a_job_in_the_queue_of_a_slow_part_is_not_given_up() -> None:
-    """A job was accepted after its caller was told that nobody knows."""
-    caller = _SlowCaller(0.0)
+def test_a_submission_waits_for_a_slow_part() -> None:
+    """A job was accepted after its client got an unknown result."""
+    http_client = _SlowHttpClient(0.0)
 
-    async def play() -> None:
-        table = PlatformTable(caller, CALL_SECONDS, write_timeout=WRITE_SECONDS)
+    async def scenario() -> None:
+        table = PlatformTable(
+            http_client, CALL_SECONDS, write_timeout=WRITE_SECONDS
+        )
         await table.transact('token', [PUT])
         await table.read([PUT.key])
 
-    run(play())
-    assert caller.timeouts == [
+    run(scenario())
+    assert http_client.timeouts == [
         pytest.approx(WRITE_SECONDS, abs=0.01),
         pytest.approx(CALL_SECONDS, abs=0.01),
     ]
--- a/tests/test_store_health.py
+++ b/tests/test_store_health.py
@@ -1,4 +1,4 @@
-"""Whether the store is away for one daemon, for some, or for all."""
+"""Outages of the store for one daemon, for some, or for all."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
         ({'b': None, 'c': None}, []),
     ],
 )
-def test_only_daemons_that_hear_from_the_store_help(
+def test_only_daemons_that_reach_the_store_are_relays(
     ages: dict[str, float | None], helpers: list[str]
 ) -> None:
-    """Calls went through a daemon that does not hear from the store either."""
-    outage = make_outage_detector(ages, ManualClock())
-    assert sorted(outage.list_relays()) == ['b', 'c']
-    run(outage.poll_peers())
-    assert outage.list_relays() == helpers
+    """Calls were relayed by a daemon that can't reach the store either."""
+    detector = make_outage_detector(ages, ManualClock())
+    assert sorted(detector.list_relays()) == ['b', 'c']
+    run(detector.poll_peers())
+    assert detector.list_relays() == helpers
 
 
 @pytest.mark.parametrize(
@@ -46,60 +46,60 @@
         ({}, True, False),
     ],
 )
-def test_an_outage_is_general_only_if_the_others_say_so(
+def test_an_outage_is_general_only_if_peers_confirm_it(
     ages: dict[str, float | None], general: bool, cut_off: bool
 ) -> None:
-    """An owner that was about to be replaced started tasks unwritten."""
+    """An owner about to be replaced started tasks without recording them."""
     clock = ManualClock()
-    outage = make_outage_detector(ages, clock)
-    assert outage.health.is_down
-    run(outage.poll_peers())
-    assert outage.is_general() is general
+    detector = make_outage_detector(ages, clock)
+    assert detector.health.is_down
+    run(detector.poll_peers())
+    assert detector.is_general() is general
     clock.advance(0.3)
-    assert outage.is_cut_off() is cut_off
-    outage.health.record(True)
-    assert not outage.is_cut_off()
-    assert not outage.is_general()
+    assert detector.is_cut_off() is cut_off
+    detector.health.record(True)
+    assert not detector.is_cut_off()
+    assert not detector.is_general()
 
 
 @pytest.mark.parametrize(('passed', 'probed'), [(0.5, []), (1.5, ['desk'])])
-def test_a_daemon_that_makes_no_calls_probes_the_store(
+def test_an_idle_daemon_probes_the_store(
     passed: float, probed: list[str]
 ) -> None:
-    """Asked by others in an outage, a quiet daemon said that there was none."""
+    """An idle daemon told its peers in an outage that there was none."""
     clock = ManualClock()
-    watch = StoreHealth(clock.monotonic, 'desk')
-    watch.record(True)
+    health = StoreHealth(clock.monotonic, 'desk')
+    health.record(True)
     clock.advance(passed)
-    outage = OutageDetector(watch, HttpClient(''), PeerList('a'))
-    found: list[str] = []
+    detector = OutageDetector(health, HttpClient(''), PeerList('a'))
+    probed_parts: list[str] = []
 
     async def probe(part: str) -> None:
-        found.append(part)
-        watch.record(True)
+        probed_parts.append(part)
+        health.record(True)
 
-    async def play() -> None:
-        work = asyncio.create_task(probe_store({'desk': outage}, probe, 0.0))
+    async def scenario() -> None:
+        work = asyncio.create_task(probe_store({'desk': detector}, probe, 0.0))
         for _ in range(5):
             await asyncio.sleep(0)
         work.cancel()
 
-    run(play())
-    assert found == probed
+    run(scenario())
+    assert probed_parts == probed
 
 
-def test_a_call_from_before_the_stores_return_does_not_count() -> None:
-    """A feed that hung in an outage made its end last a second longer."""
+def test_a_call_sent_before_the_store_recovered_is_ignored() -> None:
+    """A feed call from before the recovery prolonged an outage by a second."""
     clock = ManualClock()
-    watch = StoreHealth(clock.monotonic, 'desk')
-    watch.record(True)
+    health = StoreHealth(clock.monotonic, 'desk')
+    health.record(True)
     clock.advance(2.0)
-    watch.record(False, 0.6)
-    assert watch.is_down
-    watch.record(True, 0.01)
+    health.record(False, 0.6)
+    assert health.is_down
+    health.record(True, 0.01)
     clock.advance(0.7)
-    watch.record(False, 1.3)
+    health.record(False, 1.3)
     clock.advance(0.2)
-    assert watch.age == 0.0
-    watch.record(False, 0.2)
-    assert watch.is_down
+    assert health.age == 0.0
+    health.record(False, 0.2)
+    assert health.is_down
