--- a/lentilmount/control/configuration_follower.py
+++ b/lentilmount/control/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Keeping the configuration of a daemon up to date."""
+"""Keeps the configuration of a daemon up to date."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 log = logbook.Logger('configuration')
 
-FEED_SECONDS = 0.8
-"""Longest time for which the feed is asked to wait."""
+MAX_FEED_WAIT_SECONDS = 0.8
+"""Longest time for which the store's feed is asked to wait for a change."""
 
-FEED_SHARE = 0.25
-"""The same as a share of the time in which a change is due. What a call told is
-as old as the call, so two of them in a row have to fit into that time, also
-from a store that is slow."""
+FEED_WAIT_SHARE = 0.25
+"""The same as a share of the time in which a change must be in force. An answer
+is as old as its call, so two calls in a row must fit into that time, also when
+the store is slow."""
 
-SOURCE_SHARE = 0.125
-"""The same for another daemon, which itself knows what the store told."""
+SOURCE_WAIT_SHARE = 0.125
+"""The same for a peer as the source, whose own data has an age already."""
 
-STALE_SHARE = 0.75
-"""Age, as a share of the time in which a change is due, from which another
-daemon's word is not enough and the store is asked, without a wait."""
+MAX_SOURCE_AGE_SHARE = 0.75
+"""Age, as a share of the time in which a change must be in force, above which
+the answer of a peer is too old and the store is read, without a wait."""
 
-WATCH_SECONDS = 0.1
-"""Between two looks at the age of the configuration."""
+AGE_CHECK_SECONDS = 0.1
+"""Period of the check of the configuration's age."""
 
 
 async def watch_age(routes: RouteTable) -> None:
-    """Logs when the configuration becomes outdated, and when it is no more."""
+    """Logs when the configuration becomes outdated or up to date again."""
     was_outdated = True
     while True:
         if routes.is_outdated is not was_outdated:
@@ -49,7 +49,7 @@
                 )
             else:
                 log.info('The configuration is up to date.')
-        await asyncio.sleep(WATCH_SECONDS)
+        await asyncio.sleep(AGE_CHECK_SECONDS)
 
 
 async def follow_configuration(
@@ -57,25 +57,25 @@
     routes: RouteTable,
     sources: ConfigurationSources | None = None,
 ) -> None:
-    """Keeps a route table up to date for as long as it runs.
+    """Keeps a route table up to date until it is cancelled.
 
     Args:
-      table: Where the configuration is.
+      table: Client of the store with the configuration.
       routes: The route table.
-      sources: The daemons that pass it on, if there are any.
+      sources: The daemons that may serve the configuration, if any.
     """
-    wait = min(FEED_SECONDS, FEED_SHARE * routes.apply_timeout)
+    wait = min(MAX_FEED_WAIT_SECONDS, FEED_WAIT_SHARE * routes.apply_timeout)
     feed = TableFeed(
         table, CONFIGURATION_TABLE, wait, monotonic=routes.monotonic
     )
     while True:
         if sources is not None and await _follow_source(sources, routes):
             continue
-        is_alone = sources is None or not sources.choose()
-        feed.wait_seconds = wait if is_alone else 0.0
+        has_no_source = sources is None or not sources.choose()
+        feed.wait_seconds = wait if has_no_source else 0.0
         await _follow_store(feed, routes)
         if routes.current is None and feed.position is not None:
-            # The operators have not written it yet.
+            # The operators have not written any configuration yet.
             feed.position = None
             await asyncio.sleep(RETRY_SECONDS)
 
@@ -83,23 +83,24 @@
 async def _follow_source(
     sources: ConfigurationSources, routes: RouteTable
 ) -> bool:
-    """Asks another daemon; returns whether what is known now is fresh."""
-    wait = SOURCE_SHARE * routes.apply_timeout
-    reading = await sources.read(routes.version, wait)
-    if reading is None:
+    """Reads from a peer; returns whether the configuration is fresh now."""
+    wait = SOURCE_WAIT_SHARE * routes.apply_timeout
+    found = await sources.read(routes.version, wait)
+    if found is None:
         return False
-    row = reading.row
+    row = found.row
     if row is not None:
-        routes.apply_row(row, routes.monotonic() - reading.as_of)
+        routes.apply_row(row, routes.monotonic() - found.as_of)
         if routes.version < row.version:
             return False
-    routes.confirm(reading.as_of, reading.position)
-    return routes.age < STALE_SHARE * routes.apply_timeout
+    routes.confirm(found.as_of, found.position)
+    return routes.age < MAX_SOURCE_AGE_SHARE * routes.apply_timeout
 
 
 async def _follow_store(feed: TableFeed, routes: RouteTable) -> None:
     if feed.position is not None:
-        # The store keeps its history for seconds only.
+        # A peer may have advanced the position, and the store keeps its
+        # history for seconds only.
         feed.position = max(feed.position, routes.position)
     for row in await feed.read():
         if row.key == CONFIGURATION_KEY:
--- a/lentilmount/control/table_feed.py
+++ b/lentilmount/control/table_feed.py
@@ -1,4 +1,4 @@
-"""Reading a table of the store, then what changes in it."""
+"""Reads a table of the store, then follows its changes."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 log = logbook.Logger('feeds')
 
 RETRY_SECONDS = 0.2
-"""Before a table is read again after a failure."""
+"""Delay before a table is read again after a failure."""
 
-SLOW_SECONDS = 0.5
-"""Time for an answer, beside the wait for a change, that is worth a line."""
+SLOW_READ_SECONDS = 0.5
+"""Duration of a call, beyond its wait for a change, from which it is logged."""
 
 
 @attrs.define
 class TableFeed:
-    """The rows of a table, and what changes in them.
+    """Reads all rows of a table, then its changes from the store's feed.
 
-    Where the history is gone everything is read again. After a failed call the
-    feed is asked once more from where it was, which costs only what is new; if
-    it stays silent, the list and the feed are tried by turns. Read whole after
-    each failure, a long table filled a small link, so that the next call failed
-    too, and so on.
+    All rows are read again when the store has dropped the history. After a
+    failed call the feed is called again from the same position, which transfers
+    only new rows; if it fails again, listing and feed are tried in turns.
+    Reading a long table whole after each failure saturated a small network
+    link, so that the next call failed too.
 
     Attributes:
-      table: Calls the store.
-      name: The table.
+      table: Client of the store.
+      name: Name of the table.
       wait_seconds: How long the store's feed may wait for a change.
-      part: The part that is listed; the store's feed tells of all parts.
-      position: Version up to which changes are known; None to read all.
-      failures: Calls that failed since the last one that was answered.
-      monotonic: The clock for durations.
-      as_of: Monotonic time at which the newest call that was answered was
-        sent. What changed after it may not be known.
+      part: The part that is listed; the store's feed covers all parts.
+      position: Version up to which changes are known; None to read all rows.
+      failures: Number of failed calls since the last successful one.
+      monotonic: Returns monotonic time in seconds.
+      as_of: Monotonic time at which the last successful call was sent. Later
+        changes may be missing.
     """
 
     table: PlatformTable
@@ -59,8 +59,8 @@
     as_of: float = -math.inf
 
     async def read(self) -> tuple[RawRow, ...]:
-        """Returns all rows or those that changed; none after a failure."""
-        asked_at = self.monotonic()
+        """Returns all rows or the changed ones; none after a failure."""
+        sent_at = self.monotonic()
         try:
             found = await self._read()
         except HistoryLostError:
@@ -73,13 +73,13 @@
             return ()
         self.failures = 0
         self.position = found.version
-        self.as_of = asked_at
-        self._log_slow_reading(found.rows)
+        self.as_of = sent_at
+        self._log_slow_read(found.rows)
         return found.rows
 
-    def _log_slow_reading(self, rows: tuple[RawRow, ...]) -> None:
+    def _log_slow_read(self, rows: tuple[RawRow, ...]) -> None:
         took = self.monotonic() - self.as_of
-        if took > self.wait_seconds + SLOW_SECONDS:
+        if took > self.wait_seconds + SLOW_READ_SECONDS:
             log.info(
                 'Read table {} slowly.',
                 self.name,
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -1,4 +1,4 @@
-"""Taking the configuration from a host of the zone with a larger link."""
+"""Reading the configuration from a host of the zone with a larger link."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 @attrs.define(eq=False)
 class _Store(PlatformTable):
-    """Tells of one row; notes what is asked.
+    """A table client with one row; records the reads.
 
     Attributes:
       row: The row.
-      is_away: Whether no call is answered.
-      asked: Positions it was asked from; 0 for a whole reading.
+      is_unavailable: Whether all calls fail.
+      positions: Positions of the reads; 0 for a read of all rows.
     """
 
     row: RawRow
-    is_away: bool = False
-    asked: list[int] = attrs.Factory(list)
+    is_unavailable: bool = False
+    positions: list[int] = attrs.Factory(list)
 
     async def read_all(self, table: str, part: str = '') -> Changes:
         return await self.follow(table, 0, 0.0)
 
     async def follow(self, table: str, after: int, wait: float) -> Changes:
-        self.asked.append(after)
+        self.positions.append(after)
         await asyncio.sleep(0.01)
-        if self.is_away:
+        if self.is_unavailable:
             raise UnavailableError('silent')
         rows = (self.row,) if self.row.version > after else ()
         return Changes(rows, max(after, self.row.version))
@@ -64,8 +64,12 @@
     return {'address': address, 'zone': zone, 'link_mbps': link_mbps}
 
 
-def _make_sources(caller: HttpClient, *addresses: str) -> ConfigurationSources:
-    sources = ConfigurationSources('host-1', 'north', SMALL, caller, monotonic)
+def _make_sources(
+    http_client: HttpClient, *addresses: str
+) -> ConfigurationSources:
+    sources = ConfigurationSources(
+        'host-1', 'north', SMALL, http_client, monotonic
+    )
     sources.update(
         [_announce(address, 100.0, 'north') for address in addresses]
     )
@@ -73,114 +77,114 @@
 
 
 @attrs.define
-class _Scene:
-    """A host with a small link, and one that passes the configuration on.
+class _Hosts:
+    """A host with a small link, and the host that is its source.
 
     Attributes:
-      larger: What the larger host knows.
-      own: What the small host knows.
-      store: The store, as the small host sees it.
-      sources: The daemons that the small host asks.
+      large: Configuration of the host with the larger link.
+      small: Configuration of the host with the small link.
+      store: Table client of the host with the small link.
+      sources: Sources of the host with the small link.
     """
 
-    larger: RouteTable
-    own: RouteTable
+    large: RouteTable
+    small: RouteTable
     store: _Store
     sources: ConfigurationSources
 
     async def wait_for(self, version: int) -> None:
         """Waits until a version is in force on the small host."""
         async with asyncio.timeout(5.0):
-            while self.own.version < version:
+            while self.small.version < version:
                 await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def _open_scene(is_closing: bool = False) -> AsyncIterator[_Scene]:
+async def _open_hosts(is_closing: bool = False) -> AsyncIterator[_Hosts]:
     async with contextlib.AsyncExitStack() as stack:
-        larger = RouteTable(monotonic, APPLY_SECONDS)
-        arguments = {'routes': larger, 'is_closing': lambda: is_closing}
+        large = RouteTable(monotonic, APPLY_SECONDS)
+        arguments = {'routes': large, 'is_closing': lambda: is_closing}
         application = Application(
             [(CONFIGURATION_PATH, ConfigurationHandler, arguments)],
             log_function=lambda handler: None,
         )
-        caller = HttpClient('')
-        stack.callback(caller.close)
-        sources = _make_sources(caller, listen(application, stack))
-        own = RouteTable(monotonic, APPLY_SECONDS)
+        http_client = HttpClient('')
+        stack.callback(http_client.close)
+        sources = _make_sources(http_client, listen(application, stack))
+        small = RouteTable(monotonic, APPLY_SECONDS)
         store = _Store(_make_row(1))
-        work = asyncio.create_task(follow_configuration(store, own, sources))
+        work = asyncio.create_task(follow_configuration(store, small, sources))
         stack.callback(work.cancel)
-        yield _Scene(larger, own, store, sources)
+        yield _Hosts(large, small, store, sources)
 
 
-def test_a_small_host_takes_a_version_from_a_larger_one() -> None:
-    """Every host with a small link read every version whole from the store."""
+def test_a_small_host_reads_a_version_from_a_larger_one() -> None:
+    """Hosts with small links read each version from the store, uncompressed."""
 
-    async def play() -> list[int]:
-        async with _open_scene() as platform:
-            platform.larger.apply_row(_make_row(1))
-            platform.larger.confirm(monotonic(), 5)
-            await platform.wait_for(1)
-            platform.store.asked.clear()
+    async def scenario() -> list[int]:
+        async with _open_hosts() as hosts:
+            hosts.large.apply_row(_make_row(1))
+            hosts.large.confirm(monotonic(), 5)
+            await hosts.wait_for(1)
+            hosts.store.positions.clear()
             for version in (2, 3):
-                platform.larger.apply_row(_make_row(version))
-                platform.larger.confirm(monotonic(), 5 + version)
-                await platform.wait_for(version)
-            assert platform.own.position == 8
-            assert not platform.own.is_outdated
-            return platform.store.asked
+                hosts.large.apply_row(_make_row(version))
+                hosts.large.confirm(monotonic(), 5 + version)
+                await hosts.wait_for(version)
+            assert hosts.small.position == 8
+            assert not hosts.small.is_outdated
+            return hosts.store.positions
 
-    assert run(play()) == []
+    assert run(scenario()) == []
 
 
-def test_what_was_passed_on_is_no_fresher_than_its_sender_knew() -> None:
-    """A source that has lost the store kept old routes in force elsewhere."""
+def test_a_relayed_configuration_is_no_fresher_than_its_source() -> None:
+    """A source that had lost the store kept old routes in force elsewhere."""
 
-    async def play() -> float:
-        async with _open_scene() as platform:
-            platform.store.is_away = True
-            platform.larger.apply_row(_make_row(1))
-            platform.larger.confirm(monotonic() - 1.0, 1)
-            await platform.wait_for(1)
+    async def scenario() -> float:
+        async with _open_hosts() as hosts:
+            hosts.store.is_unavailable = True
+            hosts.large.apply_row(_make_row(1))
+            hosts.large.confirm(monotonic() - 1.0, 1)
+            await hosts.wait_for(1)
             for _ in range(5):
                 await asyncio.sleep(0.05)
-                assert platform.own.as_of <= platform.larger.as_of
-            return platform.larger.as_of - platform.own.as_of
+                assert hosts.small.as_of <= hosts.large.as_of
+            return hosts.large.as_of - hosts.small.as_of
 
-    assert run(play()) < 0.5
+    assert run(scenario()) < 0.5
 
 
 @pytest.mark.parametrize('is_closing', [False, True])
-def test_the_store_is_asked_where_a_relay_cannot_tell(is_closing: bool) -> None:
-    """A source knows nothing new, or is being stopped."""
+def test_the_store_is_read_if_the_source_is_outdated(is_closing: bool) -> None:
+    """The source has no recent configuration, or is shutting down."""
 
-    async def play() -> None:
-        async with _open_scene(is_closing) as platform:
-            platform.larger.apply_row(_make_row(1))
-            platform.larger.confirm(monotonic() - 10.0, 1)
-            platform.store.row = _make_row(2)
-            await platform.wait_for(2)
-            assert not platform.own.is_outdated
+    async def scenario() -> None:
+        async with _open_hosts(is_closing) as hosts:
+            hosts.large.apply_row(_make_row(1))
+            hosts.large.confirm(monotonic() - 10.0, 1)
+            hosts.store.row = _make_row(2)
+            await hosts.wait_for(2)
+            assert not hosts.small.is_outdated
 
-    run(play())
+    run(scenario())
 
 
-def test_a_relay_that_is_gone_is_left_out_for_a_while() -> None:
-    async def play() -> None:
+def test_a_failed_source_is_skipped_for_a_while() -> None:
+    async def scenario() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            caller = HttpClient('')
-            stack.callback(caller.close)
-            sources = _make_sources(caller, '127.0.0.1:1', '127.0.0.1:2')
+            http_client = HttpClient('')
+            stack.callback(http_client.close)
+            sources = _make_sources(http_client, '127.0.0.1:1', '127.0.0.1:2')
             assert await sources.read(0, 0.1) is None
             assert sources.choose() == ''
 
-    run(play())
+    run(scenario())
 
 
-def test_an_answer_that_cannot_be_read_is_left_out() -> None:
+def test_a_malformed_answer_is_ignored() -> None:
     class Nonsense(RequestHandler):
-        """Answers with what no daemon sends."""
+        """Sends a body that is not compressed."""
 
         def get(self) -> None:
             self.set_header('Lentilmount-Version', '7')
@@ -188,18 +192,18 @@
             self.set_header('Lentilmount-As-Of-Ms', '0')
             self.finish(b'not compressed')
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            caller = HttpClient('')
-            stack.callback(caller.close)
+            http_client = HttpClient('')
+            stack.callback(http_client.close)
             application = Application([(CONFIGURATION_PATH, Nonsense)])
-            sources = _make_sources(caller, listen(application, stack))
+            sources = _make_sources(http_client, listen(application, stack))
             assert await sources.read(0, 0.1) is None
 
-    run(play())
+    run(scenario())
 
 
-def test_only_much_larger_links_of_the_zone_pass_it_on() -> None:
+def test_only_hosts_of_the_zone_with_much_larger_links_are_sources() -> None:
     sources = ConfigurationSources(
         'host-1', 'north', SMALL, HttpClient(''), monotonic
     )
@@ -216,7 +220,7 @@
     assert sources.choose() == 'd:1'
 
 
-def test_hosts_of_a_zone_spread_over_its_relays() -> None:
+def test_hosts_of_a_zone_are_spread_over_its_sources() -> None:
     announced = [_announce(f'{n}:1', 100.0, 'north') for n in range(3)]
     chosen = set()
     for number in range(30):
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Long answers over links that are slow, and servers that fall silent."""
+"""Long answers over slow network links, and servers that stop answering."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 )
 
 CALL_SECONDS = 0.2
-"""Longest silence of a call here."""
+"""Timeout of a call: longest time without any data."""
 
 PIECES = 10
 PIECE_SECONDS = 0.05
-"""A long answer: it takes longer than the longest silence, piece by piece."""
+"""Time between pieces of a long answer; all of it exceeds the timeout."""
 
 
 @attrs.define
-class _Link:
-    """A server whose answers arrive piece by piece.
+class _SlowServer:
+    """A server that sends its answers piece by piece.
 
     Attributes:
-      stops_after: Pieces after which nothing more comes.
-      calls: How many calls came.
+      stops_after: Number of pieces after which it sends nothing more.
+      calls: Number of calls received.
     """
 
     stops_after: int
@@ -81,18 +81,20 @@
 
 
 @contextlib.asynccontextmanager
-async def _open_link(link: _Link) -> AsyncIterator[PlatformTable]:
+async def _open_table(slow_server: _SlowServer) -> AsyncIterator[PlatformTable]:
     async with contextlib.AsyncExitStack() as stack:
-        server = await asyncio.start_server(link.answer, '127.0.0.1', 0)
+        server = await asyncio.start_server(slow_server.answer, '127.0.0.1', 0)
         stack.callback(server.close)
         port = server.sockets[0].getsockname()[1]
-        caller = HttpClient(f'http://127.0.0.1:{port}')
-        stack.callback(caller.close)
-        yield PlatformTable(caller, CALL_SECONDS)
+        http_client = HttpClient(f'http://127.0.0.1:{port}')
+        stack.callback(http_client.close)
+        yield PlatformTable(http_client, CALL_SECONDS)
 
 
-async def _read_once(link: _Link, position: int | None) -> TableFeed:
-    async with _open_link(link) as table:
+async def _read_once(
+    slow_server: _SlowServer, position: int | None
+) -> TableFeed:
+    async with _open_table(slow_server) as table:
         feed = TableFeed(table, 'op', 0.0, position=position)
         await feed.read()
         return feed
@@ -102,62 +104,62 @@
 def test_an_answer_that_keeps_arriving_is_not_cut(
     position: int | None,
 ) -> None:
-    """A configuration that takes longer than a call never arrived."""
-    link = _Link(stops_after=PIECES)
-    feed = run(_read_once(link, position))
-    assert (feed.position, feed.failures, link.calls) == (7, 0, 1)
+    """A configuration that takes longer than the timeout never arrived."""
+    slow_server = _SlowServer(stops_after=PIECES)
+    feed = run(_read_once(slow_server, position))
+    assert (feed.position, feed.failures, slow_server.calls) == (7, 0, 1)
 
 
 @pytest.mark.parametrize('pieces', [0, 3])
 def test_an_answer_that_stops_arriving_is_cut(pieces: int) -> None:
-    """A call to a store that fell silent kept back every change."""
-    feed = run(_read_once(_Link(stops_after=pieces), 5))
+    """A call to a store that stopped answering delayed every change."""
+    feed = run(_read_once(_SlowServer(stops_after=pieces), 5))
     assert (feed.position, feed.failures) == (5, 1)
 
 
-def test_a_failed_call_does_not_read_the_configuration_anew(
+def test_a_failed_call_does_not_reload_the_configuration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After an outage all hosts read the longest row whole."""
+    """After an outage all hosts read the whole configuration again."""
     monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
-    asked: list[str] = []
+    reads: list[str] = []
 
     class Failing(PlatformTable):
-        """Answers the first reading and nothing more."""
+        """Answers the first read and nothing more."""
 
         async def follow(self, table: str, after: int, wait: float) -> Changes:
-            asked.append(f'after {after}')
+            reads.append(f'after {after}')
             raise UnavailableError('lost')
 
         async def read_all(self, table: str, part: str = '') -> Changes:
-            asked.append('all')
+            reads.append('all')
             return Changes((RawRow('config', make_configuration(1), 5),), 5)
 
-    async def play() -> None:
+    async def scenario() -> None:
         table = Failing(HttpClient(''), CALL_SECONDS)
         routes = RouteTable(ManualClock().monotonic, 2.0)
         work = asyncio.create_task(follow_configuration(table, routes))
-        while len(asked) < 3:
+        while len(reads) < 3:
             await asyncio.sleep(0)
         work.cancel()
 
-    run(play())
-    assert asked[:3] == ['all', 'after 5', 'after 5']
+    run(scenario())
+    assert reads[:3] == ['all', 'after 5', 'after 5']
 
 
 @pytest.mark.parametrize('is_outage', [True, False])
-def test_an_outage_for_all_makes_no_configuration_outdated(
+def test_a_general_outage_makes_no_configuration_outdated(
     monkeypatch: pytest.MonkeyPatch, is_outage: bool
 ) -> None:
-    """After an outage for all every daemon refused until it heard the feed."""
+    """After a general outage all daemons refused until their feeds answered."""
     monkeypatch.setattr(table_feed, 'RETRY_SECONDS', 0.0)
     clock = ManualClock()
-    known_away = clock.monotonic if is_outage else lambda: -math.inf
-    routes = RouteTable(clock.monotonic, 2.0, known_away)
+    outage_until = clock.monotonic if is_outage else lambda: -math.inf
+    routes = RouteTable(clock.monotonic, 2.0, outage_until)
     calls: list[str] = []
 
-    class Away(PlatformTable):
-        """Answers the first reading, and nothing for seconds."""
+    class Unavailable(PlatformTable):
+        """Answers the first read; later calls fail after 1.5 s."""
 
         async def follow(self, table: str, after: int, wait: float) -> Changes:
             calls.append(table)
@@ -169,58 +171,58 @@
                 return await self.follow(table, 0, 0.0)
             return Changes((RawRow('config', make_configuration(1), 5),), 5)
 
-    async def play() -> bool:
-        table = Away(HttpClient(''), CALL_SECONDS)
+    async def scenario() -> bool:
+        table = Unavailable(HttpClient(''), CALL_SECONDS)
         work = asyncio.create_task(follow_configuration(table, routes))
         while len(calls) < 3:
             await asyncio.sleep(0)
         work.cancel()
         return routes.is_outdated
 
-    assert run(play()) is not is_outage
+    assert run(scenario()) is not is_outage
 
 
-def test_an_outdated_configuration_answers_nobody() -> None:
-    """A host that hears of no change served by an outdated configuration."""
+def test_requests_are_refused_under_an_outdated_configuration() -> None:
+    """A host cut off from changes went on serving by old routes."""
 
-    async def play() -> list[int]:
+    async def scenario() -> list[int]:
         async with contextlib.AsyncExitStack() as stack:
             clock = ManualClock()
             _, store = open_store(stack)
             table = PlatformTable(store, CALL_SECONDS)
-            outage = OutageDetector(
+            detector = OutageDetector(
                 StoreHealth(clock.monotonic, ''), store, PeerList('a')
             )
             routes = RouteTable(clock.monotonic, 2.0)
             routes.apply_row(RawRow('config', make_configuration(1), 1))
             routes.confirm(clock.monotonic())
             app = make_frontend(
-                Submissions(table, routes, clock, lambda part: outage),
+                Submissions(table, routes, clock, lambda part: detector),
                 routes,
                 Traffic(),
                 ControlMetrics(),
             )
-            caller = HttpClient(f'http://{listen(app, stack)}')
-            stack.callback(caller.close)
+            http_client = HttpClient(f'http://{listen(app, stack)}')
+            stack.callback(http_client.close)
             statuses = []
             for passed in (1.9, 0.2, 0.0):
                 clock.advance(passed)
                 if not passed:
                     routes.confirm(clock.monotonic())
                 for path in (PREFIX, '/unknown/'):
-                    answer = await caller.call(
+                    answer = await http_client.call(
                         'GET', path, headers={'Host': 'desk.example'}
                     )
                     statuses.append(answer.status)
             return statuses
 
-    assert run(play()) == [200, 404, 503, 503, 200, 404]
+    assert run(scenario()) == [200, 404, 503, 503, 200, 404]
 
 
 def test_a_probe_is_short_however_long_the_configuration_is() -> None:
-    """After an outage each probe of a small link was cut, and began anew."""
+    """After an outage probes over a small link timed out again and again."""
 
-    async def play() -> int:
+    async def scenario() -> int:
         async with contextlib.AsyncExitStack() as stack:
             rows, store = open_store(stack)
             rows.write(('op', '', 'config'), b'x' * 400_000)
@@ -229,4 +231,4 @@
             assert answer.status == 200
             return len(answer.body)
 
-    assert run(play()) < 200
+    assert run(scenario()) < 200
