--- a/lentilmount/control/__main__.py
+++ b/lentilmount/control/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the daemon on the users' platform: `python -m lentilmount.control`."""
+"""Starts the daemon on the outer platform: `python -m lentilmount.control`."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 
 log = logbook.Logger('daemon')
 
-COLLECTOR_THRESHOLDS = (10_000, 10, 10)
-"""Objects, and younger passes, after which the collector of reference cycles
-passes. By Python's own (700, 10, 10) an owner of 40,000 tasks had its whole
-book walked once a second: 7 to 11 of 100 of its time, against 1 or 2."""
+GC_THRESHOLDS = (10_000, 10, 10)
+"""Thresholds of Python's garbage collector. With its defaults (700, 10, 10) an
+owner of 40,000 tasks spent 7 to 11 % of its time on a full collection every
+second, against 1 to 2 % with these."""
 
 
 async def run(settings: HostSettings, path: str) -> None:
-    """Runs a daemon until it is told to stop."""
+    """Runs a daemon until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, settings, path)
     await Daemon(settings).run(stop)
     log.info('Stopped.')
 
 
 def _reload(settings: HostSettings, path: str) -> None:
-    """Tells what a changed settings file would change.
+    """Logs whether the settings file has changed; changes need a restart.
 
-    Addresses and bounds of a running daemon stay as they are: the platform
-    starts the process anew when they move.
+    A running daemon keeps its addresses and time limits: the platform restarts
+    the process when it changes them.
     """
     try:
         changed = read_host_settings(path) != settings
     except LentilmountError as error:
-        log.error('The changed settings are left out: {}', error.detail)
+        log.error('The changed settings are invalid: {}', error.detail)
         return
     log.info(
         'Read the settings again; what differs needs a restart.',
@@ -57,16 +57,16 @@
 
 
 def main() -> int:
-    """Reads the settings and runs."""
+    """Reads the settings and runs the daemon; returns the exit status."""
     handler = FlowHandler(sys.stdout.fileno(), 'info')
     try:
         path = read_path()
         settings = read_host_settings(path)
         with handler, capture_libraries():
-            # What is imported by now stays for good; without this each full
-            # collection walks it all again.
+            # Objects imported so far are permanent; this keeps full collections
+            # from visiting them.
             gc.freeze()
-            gc.set_threshold(*COLLECTOR_THRESHOLDS)
+            gc.set_threshold(*GC_THRESHOLDS)
             asyncio.run(run(settings, path))
     except LentilmountError as error:
         print(f'lentilmount: {error.detail}', file=sys.stderr)
--- a/lentilmount/control/frontend.py
+++ b/lentilmount/control/frontend.py
@@ -1,4 +1,4 @@
-"""What clients and the balancer are answered."""
+"""HTTP API for clients, and the readiness check of the load balancer."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 @attrs.define
 class Traffic:
-    """What is open towards clients.
+    """State of the connections to clients.
 
     Attributes:
-      in_flight: Requests that were read and not yet answered.
-      is_closing: Whether the daemon is about to end.
+      in_flight: Number of requests received and not yet answered.
+      is_closing: Whether the daemon is shutting down.
     """
 
     in_flight: int = 0
@@ -45,7 +45,7 @@
 
 
 class JobHandler(RequestHandler):
-    """Answers requests on jobs and queues."""
+    """Handles clients' requests about jobs and queues."""
 
     def initialize(
         self,
@@ -54,18 +54,18 @@
         traffic: Traffic,
         metrics: ControlMetrics,
     ) -> None:
-        """Takes what it works with; see `make_frontend`."""
+        """Receives the handler's arguments; see `make_frontend`."""
         self._submissions = submissions
         self._routes = routes
         self._traffic = traffic
         self._metrics = metrics
 
     def prepare(self) -> None:
-        """Notes that a request is in flight."""
+        """Counts the request as in flight."""
         self._traffic.in_flight += 1
 
     def on_finish(self) -> None:
-        """Counts the request."""
+        """Updates the metrics after the request."""
         self._traffic.in_flight -= 1
         self._metrics.count_request(
             self.request.method or '',
@@ -74,7 +74,7 @@
         )
 
     async def get(self) -> None:
-        """Tells a job's state, or a queue's count of waiting jobs."""
+        """Returns a job's state, or the number of jobs pending in a queue."""
         await self._answer(self._read)
 
     async def post(self) -> None:
@@ -86,18 +86,19 @@
         await self._answer(self._cancel)
 
     async def _answer(
-        self, act: Callable[[Route, str], Awaitable[dict[str, Any]]]
+        self, handle: Callable[[Route, str], Awaitable[dict[str, Any]]]
     ) -> None:
         if self._traffic.is_closing:
             self.set_header('Connection', 'close')
         try:
             route, rest = self._find_route()
             if self._submissions.is_cut_off(route):
-                # The next connection goes to a daemon that can serve it.
+                # So that the client's next connection goes to a daemon that can
+                # reach the store.
                 self.set_header('Connection', 'close')
-            document = await act(route, rest)
+            document = await handle(route, rest)
         except LentilmountError as error:
-            self._tell(error)
+            self._send_problem(error)
             return
         self.set_header('Content-Type', 'application/json')
         self.finish(orjson.dumps(document))
@@ -105,25 +106,27 @@
     def _find_route(self) -> tuple[Route, str]:
         if self._routes.current is None:
             raise LentilmountError(
-                'no configuration is in force yet',
+                'this daemon has not received a configuration yet; retry later',
                 kind=ErrorKind.NOT_READY,
                 retry_after=NO_CONFIGURATION_RETRY_SECONDS,
             )
         if self._routes.is_outdated:
             raise LentilmountError(
-                'the configuration may be older than what is in force',
+                'the configuration of this daemon may be outdated; retry later',
                 kind=ErrorKind.NOT_READY,
                 retry_after=NO_CONFIGURATION_RETRY_SECONDS,
             )
         host = self.request.host.partition(':')[0]
         found = self._routes.find(host, self.request.path)
         if found is None:
-            raise NotFoundError('no queue has this host and path')
+            raise NotFoundError('no queue is configured for this host and path')
         return found
 
     def _check_id(self, rest: str) -> str:
         if not JOB_ID.fullmatch(rest):
-            raise NotFoundError('a job id is 16 hexadecimal digits')
+            raise NotFoundError(
+                'the job id must be 16 lowercase hexadecimal digits'
+            )
         return rest
 
     async def _read(self, route: Route, rest: str) -> dict[str, Any]:
@@ -142,7 +145,7 @@
         await self._submissions.cancel(route, self._check_id(rest))
         return {}
 
-    def _tell(self, error: LentilmountError) -> None:
+    def _send_problem(self, error: LentilmountError) -> None:
         log.info(
             'Refused: {}.',
             error.detail,
@@ -161,19 +164,19 @@
 
 
 class ReadinessHandler(RequestHandler):
-    """Tells the balancer whether to send new connections."""
+    """Answers the readiness checks of the load balancer."""
 
     def initialize(self, is_ready: Callable[[], bool]) -> None:
-        """Takes what tells whether the daemon is ready."""
+        """Receives the function that returns whether the daemon is ready."""
         self._is_ready = is_ready
 
     def get(self) -> None:
-        """Answers 200 if ready, else 503."""
+        """Answers 200 if the daemon is ready, else 503."""
         self.set_status(200 if self._is_ready() else 503)
 
 
-def _be_quiet(_: RequestHandler) -> None:
-    """Leaves out tornado's line a request; our own lines tell more."""
+def _skip_access_log(_: RequestHandler) -> None:
+    """Suppresses tornado's access log; the handlers log the requests."""
 
 
 def make_frontend(
@@ -182,19 +185,21 @@
     traffic: Traffic,
     metrics: ControlMetrics,
 ) -> Application:
-    """Builds what clients talk to."""
+    """Returns the application that serves clients."""
     arguments = {
         'submissions': submissions,
         'routes': routes,
         'traffic': traffic,
         'metrics': metrics,
     }
-    return Application([('.*', JobHandler, arguments)], log_function=_be_quiet)
+    return Application(
+        [('.*', JobHandler, arguments)], log_function=_skip_access_log
+    )
 
 
 def make_readiness(is_ready: Callable[[], bool]) -> Application:
-    """Builds what the balancer asks."""
+    """Returns the application that serves the load balancer."""
     return Application(
         [('.*', ReadinessHandler, {'is_ready': is_ready})],
-        log_function=_be_quiet,
+        log_function=_skip_access_log,
     )
--- a/lentilmount/control/lifecycle.py
+++ b/lentilmount/control/lifecycle.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: what it opens, runs and closes."""
+"""Starts, runs and stops the parts of the daemon on the outer platform."""
 
 from __future__ import annotations
 
@@ -59,77 +59,78 @@
 
 log = logbook.Logger('daemon')
 
-STORE_SECONDS = 0.6
-"""For a call to the store: a write takes 6 ms, and 0.36 s when the store is
-sixty times as slow as usual."""
+STORE_TIMEOUT_SECONDS = 0.6
+"""Timeout for a call to the store. A write takes 6 ms, and 0.36 s when the
+store is sixty times slower than usual."""
 
-SUBMISSION_SECONDS = 2.0
-"""For a transaction that accepts jobs. A part refuses what would wait for more
-than a second; given up earlier, a job is accepted all the same, and its caller
-is told that nobody knows and sends it again."""
+SUBMISSION_TIMEOUT_SECONDS = 2.0
+"""Timeout for a transaction that accepts jobs. The store refuses calls that
+would queue for more than a second. With a shorter timeout a job could be
+accepted although its client is told that the result is unknown and retries."""
 
-PEERS_SECONDS = 4.0
-"""Between two readings of the other daemons' announcements. They serve to tell
-an outage of the store and to find larger hosts, so a new daemon may be missing
+ANNOUNCEMENT_SECONDS = 4.0
+"""Period of reading the other daemons' announcements. They are used to detect
+outages of the store and to find larger hosts, so a new daemon may be missing
 for a while."""
 
-FIRST_PEERS_SECONDS = 0.5
-"""The same where this daemon has just announced itself for the first time: all
-hosts of a new system start within 0.3 s of each other."""
+FIRST_ANNOUNCEMENT_SECONDS = 0.5
+"""The same until this daemon finds its own announcement: all hosts of a new
+system start within 0.3 s of each other."""
 
-GUARD_SECONDS = 0.2
-"""Between two rounds of questions to the other daemons in an outage."""
+OUTAGE_POLL_SECONDS = 0.2
+"""Period of polling the other daemons, and of probes, in an outage."""
 
-ORDER_SECONDS = 0.8
-"""For a call to a worker beside the time that it may wait; workers answer in
-a few ms, and a slow link in some tens."""
+WORKER_TIMEOUT_SECONDS = 0.8
+"""Timeout for a call to a worker, beyond the wait of a poll. Workers answer
+within a few milliseconds, or some tens over a slow network link."""
 
-ADVICE_SECONDS = 3.0
-"""For a call to the advice service, which works them off in turn."""
+ADVICE_TIMEOUT_SECONDS = 3.0
+"""Timeout for a call to the advice service, which handles calls in sequence."""
 
-STORE_CALLS = 64
-WORKER_CALLS = 600
-"""Most calls at once: one look and two orders for each of 200 workers."""
+MAX_STORE_CALLS = 64
+MAX_WORKER_CALLS = 600
+"""Maximum concurrent calls to workers: a poll and two commands for each of 200
+workers."""
 
 METRICS_PORT = int(os.environ.get('LENTILMOUNT_METRICS_PORT', '9464'))
-"""Where the daemon's own metrics are, on the host's address; the same as in
-the deploy file. 9464 is the usual port of exporters."""
+"""Port of the daemon's own metrics on the host's address; the same as in the
+deploy file. 9464 is the usual port of exporters."""
 
-UNREADY_SECONDS = 2.5
-"""From the signal to stop until the balancer sends no new connections: two
-looks, a second apart, and a margin."""
+BALANCER_NOTICE_SECONDS = 2.5
+"""Time from the stop signal until the load balancer sends no new connections:
+two readiness checks, a second apart, and a margin."""
 
 DRAIN_POLL_SECONDS = 0.05
-"""Between two looks whether a request is still in flight."""
+"""Period of the check for requests in flight."""
 
-END_MARGIN_SECONDS = 0.8
-"""Kept free before the kill."""
+KILL_MARGIN_SECONDS = 0.8
+"""Time between the end of draining and the platform's kill."""
 
 
 class Daemon:
-    """One daemon: the frontend, and the campaigns for each service."""
+    """One daemon: its HTTP servers, and an election for each service."""
 
     def __init__(self, settings: HostSettings):
         self._settings = settings
         self._clock = SystemClock()
         self.traffic = Traffic()
         self.store = HttpClient(
-            f'http://{settings.store}', STORE_SECONDS, STORE_CALLS
+            f'http://{settings.store}', STORE_TIMEOUT_SECONDS, MAX_STORE_CALLS
         )
-        self.workers = HttpClient('', ORDER_SECONDS, WORKER_CALLS)
+        self.workers = HttpClient('', WORKER_TIMEOUT_SECONDS, MAX_WORKER_CALLS)
         self.metrics = ControlMetrics()
         relay = PeerRelay(
             self.workers, self.find_outage_detector, self._clock.monotonic
         )
         self.table = PlatformTable(
-            self.store, STORE_SECONDS, self._observe_store, relay
+            self.store, STORE_TIMEOUT_SECONDS, self._observe_store, relay
         )
         self._jobs_table = PlatformTable(
             self.store,
-            STORE_SECONDS,
+            STORE_TIMEOUT_SECONDS,
             self._observe_store,
             relay,
-            SUBMISSION_SECONDS,
+            SUBMISSION_TIMEOUT_SECONDS,
         )
         self.outage_detectors: dict[str, OutageDetector] = {}
         self._peers = PeerList(str(settings.internal))
@@ -143,8 +144,10 @@
         )
         self.advice: AdviceClient | None = None
         if settings.advice is not None:
-            caller = HttpClient(f'http://{settings.advice}', ADVICE_SECONDS)
-            self.advice = AdviceClient(caller, ADVICE_SECONDS)
+            caller = HttpClient(
+                f'http://{settings.advice}', ADVICE_TIMEOUT_SECONDS
+            )
+            self.advice = AdviceClient(caller, ADVICE_TIMEOUT_SECONDS)
         self.routes = RouteTable(
             self._clock.monotonic,
             settings.times.apply,
@@ -154,25 +157,25 @@
         self.name = make_name(settings.name)
 
     def find_outage_detector(self, part: str) -> OutageDetector:
-        """Returns what is known of a part of the store: a service's rows.
+        """Returns the outage detector of a part of the store, one per service.
 
-        The part '' stands for what lies in none, such as the configuration.
+        The part '' stands for tables without parts, such as the configuration.
         """
-        outage = self.outage_detectors.get(part)
-        if outage is None:
-            watch = StoreHealth(self._clock.monotonic, part)
-            outage = OutageDetector(watch, self.workers, self._peers)
-            self.outage_detectors[part] = outage
-        return outage
+        detector = self.outage_detectors.get(part)
+        if detector is None:
+            health = StoreHealth(self._clock.monotonic, part)
+            detector = OutageDetector(health, self.workers, self._peers)
+            self.outage_detectors[part] = detector
+        return detector
 
     def _observe_store(
-        self, part: str, status: int, is_good: bool, took: float
+        self, part: str, status: int, is_answered: bool, took: float
     ) -> None:
-        self.find_outage_detector(part).health.record(is_good, took)
+        self.find_outage_detector(part).health.record(is_answered, took)
         self.metrics.count_store_call(status)
 
     async def _probe(self, part: str) -> None:
-        """Makes a direct call about a part; its outcome is observed."""
+        """Makes a direct call to a part; `_observe_store` gets its outcome."""
         partition = make_partition(CONFIGURATION_TABLE)
         if part:
             partition = make_owner_key(part).partition
@@ -189,7 +192,7 @@
                 election.owner.refresh_metrics()
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Returns whether the daemon accepts new connections."""
         if self.routes.current is None or self.traffic.is_closing:
             return False
         if self.routes.is_outdated:
@@ -197,39 +200,41 @@
         return not any(o.is_cut_off() for o in self.outage_detectors.values())
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until told to stop, then hands over and drains."""
-        servers = self._listen_everywhere()
+        """Serves until `stop` is set, then releases services and drains."""
+        servers = self._start_servers()
         async with asyncio.TaskGroup() as group:
-            following = [
+            background = [
                 group.create_task(
                     follow_configuration(self.table, self.routes, self._sources)
                 ),
                 group.create_task(watch_age(self.routes)),
-                group.create_task(self._follow_peers()),
+                group.create_task(self._keep_peers_updated()),
                 group.create_task(self.metrics.watch_lag()),
                 group.create_task(
-                    poll_peers_in_outage(self.outage_detectors, GUARD_SECONDS)
+                    poll_peers_in_outage(
+                        self.outage_detectors, OUTAGE_POLL_SECONDS
+                    )
                 ),
                 group.create_task(
                     probe_store(
-                        self.outage_detectors, self._probe, GUARD_SECONDS
+                        self.outage_detectors, self._probe, OUTAGE_POLL_SECONDS
                     )
                 ),
             ]
-            campaigning = group.create_task(self._campaign(group))
+            election_task = group.create_task(self._run_elections(group))
             await stop.wait()
             self.traffic.is_closing = True
             log.info('Stopping.', extra={'ready': False})
             for election in self.elections.values():
                 election.stop()
-            campaigning.cancel()
+            election_task.cancel()
             await self._drain()
             for server in servers:
                 server.stop()
-            for task in following:
+            for task in background:
                 task.cancel()
 
-    def _listen_everywhere(self) -> list[HTTPServer]:
+    def _start_servers(self) -> list[HTTPServer]:
         settings = self._settings
         submissions = Submissions(
             self._jobs_table,
@@ -242,7 +247,7 @@
         )
         readiness = make_readiness(self.is_ready)
         metrics = make_metrics(self.metrics, self._refresh_metrics)
-        scraped = Address(settings.internal.host, METRICS_PORT)
+        metrics_address = Address(settings.internal.host, METRICS_PORT)
         listeners = {
             'frontend': _listen(frontend, settings.frontend),
             'readiness': _listen(readiness, settings.readiness),
@@ -255,7 +260,7 @@
                 ),
                 settings.internal,
             ),
-            'metrics': _listen(metrics, scraped),
+            'metrics': _listen(metrics, metrics_address),
         }
         self._peers.own = str(listeners['internal'].address)
         log.info(
@@ -274,42 +279,42 @@
         return [listener.server for listener in listeners.values()]
 
     async def _drain(self) -> None:
-        """Serves until the balancer has noticed and nothing is in flight.
+        """Serves until no new connections come and no request is in flight.
 
-        Clients go on using open connections meanwhile; each is told to close
-        with its next answer.
+        Clients may go on using their open connections; the next answer on each
+        asks the client to close it.
         """
         end = self._clock.monotonic() + (
-            self._settings.times.grace - END_MARGIN_SECONDS
+            self._settings.times.grace - KILL_MARGIN_SECONDS
         )
-        await asyncio.sleep(UNREADY_SECONDS)
+        await asyncio.sleep(BALANCER_NOTICE_SECONDS)
         while self.traffic.in_flight and self._clock.monotonic() < end:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    async def _follow_peers(self) -> None:
-        """Announces this daemon and reads of the others."""
+    async def _keep_peers_updated(self) -> None:
+        """Announces this daemon and reads the others' announcements."""
         while True:
-            pause = FIRST_PEERS_SECONDS
+            pause = FIRST_ANNOUNCEMENT_SECONDS
             try:
-                if await self._read_peers():
-                    pause = PEERS_SECONDS
+                if await self._update_peers():
+                    pause = ANNOUNCEMENT_SECONDS
             except (UnavailableError, ConflictError) as error:
                 log.info('Cannot follow the other daemons: {}', error)
             await asyncio.sleep(pause)
 
-    async def _read_peers(self) -> bool:
-        """Reads of the others; returns whether this daemon was announced."""
+    async def _update_peers(self) -> bool:
+        """Updates the peers; returns whether this daemon was announced."""
         key = make_daemon_key(self._settings.name)
-        announced = make_announcement(
+        announcement = make_announcement(
             self._peers.own, self._settings.zone, self._settings.capacity
         )
         rows = await scan_all(self.table, key.partition, PAGE_ROWS)
-        mine = next((row for row in rows if row.key == key), None)
-        if mine is None or mine.body != announced:
-            version = mine.version if mine else ABSENT
-            put = Put(key, announced, version)
+        own_row = next((row for row in rows if row.key == key), None)
+        if own_row is None or own_row.body != announcement:
+            version = own_row.version if own_row else ABSENT
+            put = Put(key, announcement, version)
             await self.table.transact(make_token(), [put])
-        # A host that was removed for good may have left our address behind.
+        # A host that was removed may have left a row with this address.
         others = [
             row.body
             for row in rows
@@ -319,22 +324,22 @@
         if peers != self._peers.known:
             log.info('Knows {} daemons.', len(peers))
         self._peers.known = peers
-        self._candidates.update(read_capacities(others), mine is not None)
+        self._candidates.update(read_capacities(others), own_row is not None)
         self._sources.update(others)
-        return mine is not None
+        return own_row is not None
 
-    async def _campaign(self, group: asyncio.TaskGroup) -> None:
+    async def _run_elections(self, group: asyncio.TaskGroup) -> None:
         while True:
             await self.routes.changed.wait()
             self.routes.changed.clear()
             current = self.routes.current
             for service in current.services if current else ():
                 if service not in self.elections:
-                    election = self._make_campaign(service)
+                    election = self._make_election(service)
                     self.elections[service] = election
                     group.create_task(election.run())
 
-    def _make_campaign(self, service: str) -> ServiceElection:
+    def _make_election(self, service: str) -> ServiceElection:
         times = self._settings.times
         settings = OwnerSettings(service, times.lease, times.status)
         return ServiceElection(
@@ -342,7 +347,9 @@
             self.table,
             self.name,
             self._clock,
-            lambda epoch: WorkerClient(self.workers, epoch, ORDER_SECONDS),
+            lambda epoch: WorkerClient(
+                self.workers, epoch, WORKER_TIMEOUT_SECONDS
+            ),
             self.find_outage_detector(service).is_general,
             self.advice,
             self.metrics,
@@ -353,14 +360,14 @@
 
 @attrs.frozen
 class _Listener:
-    """A server and the address that it really has."""
+    """A server and the address that it listens on."""
 
     server: HTTPServer
     address: Address
 
 
 def _listen(application: Application, address: Address) -> _Listener:
-    """Listens; port 0 stands for any free one."""
+    """Starts a server; port 0 selects a free one."""
     server = HTTPServer(application)
     sockets = bind_sockets(address.port, address.host)
     server.add_sockets(sockets)
--- a/lentilmount/control/metrics.py
+++ b/lentilmount/control/metrics.py
@@ -1,4 +1,4 @@
-"""What a daemon counts on the platform, in Prometheus's form."""
+"""Prometheus metrics of the daemon on the outer platform."""
 
 from __future__ import annotations
 
@@ -14,51 +14,52 @@
     *(0.005, 0.01, 0.025, 0.05, 0.1, 0.25),
     *(0.5, 1.0, 2.5, 5.0, 10.0, 30.0),
 )
-"""Upper bounds, among them the objectives of both deployments."""
+"""Upper bounds of histogram buckets in seconds, including the latency
+objectives of both deployments."""
 
-LAG_SECONDS = 0.25
-"""Between two measurements of the event loop's lag."""
+LAG_PERIOD_SECONDS = 0.25
+"""Period of the measurement of the event loop's lag."""
 
 
 class ControlMetrics:
-    """Counters and histograms of one daemon."""
+    """Counters, histograms and gauges of one daemon."""
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self._requests = self._count(
+        self._requests = self._make_counter(
             'lentilmount_requests_total',
             'Client requests, by method and HTTP status.',
         )
-        self._request_seconds = self._measure(
+        self._request_seconds = self._make_histogram(
             'lentilmount_request_seconds',
             'Time from a whole request to its answer, in seconds.',
         )
-        self._store_calls = self._count(
+        self._store_calls = self._make_counter(
             'lentilmount_store_calls_total',
             'Calls to the table service, by HTTP status; 599 for none.',
         )
-        self._starts = self._count(
+        self._starts = self._make_counter(
             'lentilmount_starts_total', 'Tasks placed on workers.'
         )
-        self._first_starts = self._measure(
+        self._first_starts = self._make_histogram(
             'lentilmount_first_start_seconds',
             'Time from acceptance to the first start of a job, in seconds.',
         )
-        self._ends = self._count(
+        self._ends = self._make_counter(
             'lentilmount_ends_total', 'Ends of runs, by how they ended.'
         )
-        self._takeovers = self._count(
+        self._takeovers = self._make_counter(
             'lentilmount_takeovers_total', 'Leases on services taken.'
         )
-        self._losses = self._count(
+        self._ownership_losses = self._make_counter(
             'lentilmount_ownership_lost_total',
             'Services lost to another daemon.',
         )
-        self._paces = self._count(
+        self._throttlings = self._make_counter(
             'lentilmount_paces_total',
             'Changes of pace of filling tasks, by direction.',
         )
-        self._lag = self._measure(
+        self._lag = self._make_histogram(
             'lentilmount_loop_lag_seconds',
             'How late timers of the event loop fire, in seconds.',
         )
@@ -80,10 +81,10 @@
             )
         }
 
-    def _count(self, name: str, text: str) -> Counter:
+    def _make_counter(self, name: str, text: str) -> Counter:
         return Counter(name, text, registry=self.registry)
 
-    def _measure(self, name: str, text: str) -> Histogram:
+    def _make_histogram(self, name: str, text: str) -> Histogram:
         return Histogram(
             name, text, buckets=list(SECONDS_BUCKETS), registry=self.registry
         )
@@ -102,47 +103,47 @@
         self._starts.inc({})
 
     def observe_first_start(self, seconds: float) -> None:
-        """Takes in how long a job waited for its first start."""
+        """Records how many seconds a job waited for its first start."""
         self._first_starts.observe({}, seconds)
 
-    def count_end(self, how: str) -> None:
-        """Counts the end of a run."""
-        self._ends.inc({'how': how})
+    def count_end(self, kind: str) -> None:
+        """Counts the end of a run, by its end kind."""
+        self._ends.inc({'how': kind})
 
     def count_takeover(self, service: str) -> None:
-        """Counts a lease that was taken."""
+        """Counts an acquired lease of a service."""
         self._takeovers.inc({'service': service})
 
     def count_loss(self, service: str) -> None:
-        """Counts a service that another daemon owns now."""
-        self._losses.inc({'service': service})
+        """Counts a service lost to another daemon."""
+        self._ownership_losses.inc({'service': service})
 
     def count_pace(self, is_slower: bool) -> None:
-        """Counts a change of pace."""
-        self._paces.inc({'direction': 'down' if is_slower else 'up'})
+        """Counts a change of a task's CPU share."""
+        self._throttlings.inc({'direction': 'down' if is_slower else 'up'})
 
     def set_gauge(
         self, name: str, values: Mapping[str, float], label: str
     ) -> None:
-        """Sets one gauge for each value of a label."""
+        """Sets a gauge, once per value of a label; '' stands for no label."""
         for key, value in values.items():
             self._gauges[name].set({label: key} if label else {}, value)
 
     async def watch_lag(self) -> None:
-        """Measures the lag of the event loop for as long as it runs."""
+        """Measures the lag of the event loop until it is cancelled."""
         while True:
-            due = time.monotonic() + LAG_SECONDS
-            await asyncio.sleep(LAG_SECONDS)
+            due = time.monotonic() + LAG_PERIOD_SECONDS
+            await asyncio.sleep(LAG_PERIOD_SECONDS)
             self._lag.observe({}, max(0.0, time.monotonic() - due))
 
 
 class MetricsHandler(RequestHandler):
-    """Answers a scrape."""
+    """Serves the metrics to a scraper."""
 
     def initialize(
         self, metrics: ControlMetrics, refresh: Callable[[], None]
     ) -> None:
-        """Takes what it tells, and what brings gauges up to date."""
+        """Receives the metrics and the function that updates the gauges."""
         self._metrics = metrics
         self._refresh = refresh
 
@@ -159,7 +160,7 @@
 def make_metrics(
     metrics: ControlMetrics, refresh: Callable[[], None]
 ) -> Application:
-    """Builds what a scraper talks to."""
+    """Returns the application that serves scrapers."""
     arguments = {'metrics': metrics, 'refresh': refresh}
     return Application(
         [('/metrics', MetricsHandler, arguments)],
--- a/lentilmount/control/peer_api.py
+++ b/lentilmount/control/peer_api.py
@@ -1,4 +1,4 @@
-"""What daemons ask each other."""
+"""HTTP API between the daemons."""
 
 from __future__ import annotations
 
@@ -24,45 +24,45 @@
 from lentilmount.upstream.http import CURL_ERROR
 
 NO_ANSWER = 504
-"""HTTP status for a call whose effect is not known."""
+"""HTTP status for a relayed call without an answer, whose effect is unknown."""
 
 
 class StoreHandler(PeerHandler):
-    """Tells other daemons how long the store has not answered here."""
+    """Reports to peers for how long the store has not answered this daemon."""
 
     def initialize(
         self, find: FindOutageDetector, is_closing: Callable[[], bool]
     ) -> None:
-        """Takes what it tells of."""
+        """Receives the handler's arguments; see `make_peer_api`."""
         self.is_closing = is_closing
-        self._find = find
+        self._find_detector = find
 
     def get(self) -> None:
-        """Answers with the age of the last good answer."""
-        outage = self._find(self.get_query_argument('part'))
-        self.finish(orjson.dumps(outage.make_report()))
+        """Answers with the age of the last successful answer."""
+        detector = self._find_detector(self.get_query_argument('part'))
+        self.finish(orjson.dumps(detector.make_report()))
 
 
 class RelayHandler(PeerHandler):
-    """Sends calls to the store for daemons that it turns away."""
+    """Relays calls to the store for daemons that it rejects."""
 
     def initialize(
         self, table: PlatformTable, is_closing: Callable[[], bool]
     ) -> None:
-        """Takes what it calls the store with."""
+        """Receives the handler's arguments; see `make_peer_api`."""
         self.is_closing = is_closing
         self._table = table
 
     async def get(self) -> None:
-        """Sends a reading."""
+        """Relays a read."""
         await self._relay()
 
     async def post(self) -> None:
-        """Sends a transaction."""
+        """Relays a transaction."""
         await self._relay()
 
     async def _relay(self) -> None:
-        # Directly only: sent on once more, a call could go round for ever.
+        # Only directly: relayed once more, a call could loop between daemons.
         call = StoreCall(
             self.request.headers.get(PART_HEADER, ''),
             self.request.method or '',
@@ -83,13 +83,13 @@
     routes: RouteTable,
     is_closing: Callable[[], bool] = lambda: False,
 ) -> Application:
-    """Builds what other daemons ask.
+    """Returns the application that serves the other daemons.
 
     Args:
-      find: Finds what is known of a part of the store.
-      table: Sends calls to the store for others.
-      routes: The configuration that is passed on.
-      is_closing: Whether this daemon is being stopped.
+      find: Returns the outage detector of a part of the store.
+      table: Sends the relayed calls to the store.
+      routes: The configuration to serve.
+      is_closing: Returns whether this daemon is shutting down.
     """
     return Application(
         [
--- a/lentilmount/control/peer_handler.py
+++ b/lentilmount/control/peer_handler.py
@@ -1,4 +1,4 @@
-"""What all handlers share that answer other daemons."""
+"""Base class of the request handlers of the API between daemons."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from tornado.web import RequestHandler
 
 NOT_READY = 503
-"""HTTP status of a daemon that is being stopped: a call that it took would be
-cut off by its end, and nobody would know whether it was carried out."""
+"""HTTP status while the daemon shuts down. An accepted call could be cut off by
+its exit, and nobody would know whether it was executed."""
 
 
 class PeerHandler(RequestHandler):
-    """Refuses what comes while the daemon is being stopped.
+    """Refuses requests while the daemon is shutting down.
 
     Attributes:
-      is_closing: Whether it is; set by the subclass.
+      is_closing: Returns whether it is; set by the subclass.
     """
 
     is_closing: Callable[[], bool]
 
     def prepare(self) -> None:
-        """Called by tornado before a request is answered."""
+        """Refuses the request if the daemon is shutting down."""
         if self.is_closing():
             self.refuse()
 
     def refuse(self) -> None:
-        """Answers that another daemon is to be asked."""
+        """Answers that the request must go to another daemon."""
         self.set_status(NOT_READY)
         self.finish()
