--- a/lentilmount/platform/advice.py
+++ b/lentilmount/platform/advice.py
@@ -1,4 +1,4 @@
-"""Calls to the service that knows which workers may run a step."""
+"""Client of the advice service, which decides which workers may run a step."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen
 class Tickets:
-    """What the service allows.
+    """Permissions to start a step on workers.
 
     Attributes:
-      by_worker: A ticket for each worker that may run the step.
-      valid_seconds: How long they may be used.
+      by_worker: A ticket for each worker that may run the step, by worker id.
+      valid_seconds: Seconds for which the tickets are valid.
     """
 
     by_worker: dict[str, str]
@@ -23,25 +23,25 @@
 
 @attrs.define
 class AdviceClient:
-    """Calls to the advice service.
+    """Client of the advice service.
 
     Attributes:
-      caller: Sends the calls.
-      timeout: Seconds for a call.
+      http_client: Sends the requests.
+      timeout: Timeout of a call, in seconds.
     """
 
-    caller: HttpClient
+    http_client: HttpClient
     timeout: float
 
     async def ask(self, step: str, workers: list[str]) -> Tickets | None:
-        """Asks which workers may run a step; None if there is no answer.
+        """Returns the tickets for a step, or None without a usable answer.
 
         Args:
           step: Job, occurrence and number of the step.
-          workers: Ids, at most 100.
+          workers: Ids of the candidate workers, at most 100.
         """
         body = orjson.dumps({'step': step, 'workers': workers})
-        answer = await self.caller.call(
+        answer = await self.http_client.call(
             'POST',
             '/advise',
             body,
--- a/lentilmount/platform/documents.py
+++ b/lentilmount/platform/documents.py
@@ -1,4 +1,4 @@
-"""What operators, clients and workers write, decoded into our own types."""
+"""Decodes the documents of operators, clients and workers."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from lentilmount.scheduling.specs import JobSpec, QueuePolicy, StepSpec
 
 MAX_TASKS = 10_000
-"""Most tasks of one job that are accepted; a bound on the memory of one."""
+"""Largest number of tasks of an accepted job, to bound its memory."""
 
 
 @attrs.frozen
 class Route:
-    """A queue as operators declare it.
+    """The route to a queue, as operators configure it.
 
     Attributes:
-      host: Value of the Host header.
-      prefix: What paths begin with.
-      policy: How its jobs are treated.
+      host: Host header of its requests.
+      prefix: Prefix of the path of its requests.
+      policy: Scheduling policy of its jobs.
     """
 
     host: str
@@ -41,13 +41,13 @@
 
 @attrs.frozen
 class RoutingConfiguration:
-    """The configuration in force.
+    """The operators' configuration.
 
     Attributes:
-      version: Raised by each change.
-      routes: All queues.
-      services: Names of the pools of workers.
-      body_bytes: Longest body of a request.
+      version: Version number, which rises with each change.
+      routes: Routes to all queues.
+      services: Names of the services, which are pools of workers.
+      body_bytes: Maximum size of a request body in bytes.
     """
 
     version: int
@@ -60,7 +60,7 @@
     """Decodes the operators' configuration.
 
     Raises:
-      InvalidError: It is not in the form agreed.
+      InvalidError: The configuration is malformed.
     """
     try:
         document = orjson.loads(value)
@@ -100,21 +100,22 @@
 def decode_submission(
     job_id: str, body: bytes, policy: QueuePolicy, accepted: float
 ) -> JobSpec:
-    """Decodes a job that a client hands in.
+    """Decodes a job that a client submits.
 
     Raises:
-      InvalidError: Naming the field that is wrong.
+      InvalidError: The body is not JSON, or a field is invalid; the error names
+        the field.
     """
     try:
         document = orjson.loads(body)
     except ValueError as error:
         raise InvalidError(f'the body is not JSON: {error}') from error
     if not isinstance(document, dict):
-        raise _complain('', 'must be an object')
+        raise _make_error('', 'must be an object')
     return _decode_spec(job_id, document, policy, accepted)
 
 
-def _complain(field: str, problem: str) -> InvalidError:
+def _make_error(field: str, problem: str) -> InvalidError:
     found = FieldProblem(field or 'body', problem)
     return InvalidError(str(found), fields=(found,))
 
@@ -122,15 +123,16 @@
 def _decode_spec(
     job_id: str, document: dict[str, Any], policy: QueuePolicy, accepted: float
 ) -> JobSpec:
+    # 'spec' is the payload of all tasks, opaque to the scheduler.
     payload = document.get('spec') or ''
     steps = document.get('steps')
     if not isinstance(payload, str):
-        raise _complain('spec', 'must be a text')
+        raise _make_error('spec', 'must be a string')
     if not isinstance(steps, list) or not steps:
-        raise _complain('steps', 'must be a list that is not empty')
+        raise _make_error('steps', 'must be a non-empty list')
     decoded = tuple(_decode_step(n, step) for n, step in enumerate(steps))
     if sum(step.count for step in decoded) > MAX_TASKS:
-        raise _complain('steps', f'has more than {MAX_TASKS} tasks')
+        raise _make_error('steps', f'has more than {MAX_TASKS} tasks')
     try:
         return JobSpec(
             id=job_id,
@@ -138,21 +140,21 @@
             steps=decoded,
             queue=policy,
             accepted=accepted,
-            # 'runCount' counts occurrences, not starts of a task.
+            # 'runCount' is the number of occurrences, not of task starts.
             occurrences=int(document.get('runCount') or 0),
             first=float(document.get('startTimeMs') or 0) / 1000,
             interval=float(document.get('intervalMs') or 0) / 1000,
         )
     except (TypeError, ValueError) as error:
-        raise _complain('runCount, startTimeMs, intervalMs', str(error)) from (
-            error
-        )
+        raise _make_error(
+            'runCount, startTimeMs, intervalMs', str(error)
+        ) from (error)
 
 
 def _decode_step(number: int, step: Any) -> StepSpec:
     name = f'steps[{number}]'
     if not isinstance(step, dict):
-        raise _complain(name, 'must be an object')
+        raise _make_error(name, 'must be an object')
     try:
         after = tuple(int(before) for before in step.get('after') or ())
         count = int(step.get('count') or 0)
@@ -164,11 +166,12 @@
             checkpointing=bool(step.get('checkpointing')),
             gang=bool(step.get('gang')),
             same_rack=bool(step.get('sameRack')),
-            # One label, in spite of the plural.
+            # 'requirements' is a single label, despite the plural.
             label=str(step.get('requirements') or ''),
-            # The rack with the data, not a task to be near to.
+            # 'affinity' is the rack that holds the data, not another task.
             rack=str(step.get('affinity') or ''),
-            # A bound per worker, not a group to keep away from.
+            # 'antiAffinity' is the maximum number of tasks per worker, not a
+            # group to avoid.
             most_per_worker=int(step.get('antiAffinity') or 0),
             duplicates=bool(step.get('allowDuplicates')),
             lasting=bool(step.get('longRunning')),
@@ -178,16 +181,18 @@
             may_miss=int(step['mayMiss']) if 'mayMiss' in step else None,
         )
     except (TypeError, ValueError) as error:
-        raise _complain(name, str(error)) from error
+        raise _make_error(name, str(error)) from error
     if count < 1:
-        raise _complain(f'{name}.count', 'must be 1 or more')
+        raise _make_error(f'{name}.count', 'must be 1 or more')
     if any(not 0 <= before < number for before in after):
-        raise _complain(f'{name}.after', 'must list earlier steps')
+        raise _make_error(
+            f'{name}.after', 'must list numbers of earlier steps only'
+        )
     return spec
 
 
 def encode_job_row(spec: JobSpec) -> dict[str, Any]:
-    """Builds the body of a job's row."""
+    """Encodes a job as the body of its row; default values are left out."""
     return attrs.asdict(spec, filter=_is_set)
 
 
@@ -196,7 +201,7 @@
 
 
 def decode_job_row(body: Mapping[str, Any]) -> JobSpec:
-    """Reads the body of a job's row."""
+    """Decodes the body of a job's row."""
     steps = tuple(
         StepSpec(
             **{
@@ -212,7 +217,7 @@
 
 
 def decode_registration(worker_id: str, value: bytes) -> WorkerEntry | None:
-    """Decodes a registration; None if it names no worker to use."""
+    """Decodes a worker's registration; None if it is malformed."""
     try:
         document = orjson.loads(value)
         labels = tuple(document.get('labels') or ())
@@ -223,7 +228,7 @@
         zone = document['zone']
         if not all(isinstance(t, str) and t for t in (address, service, zone)):
             return None
-        leaves = document.get('remainingMs')
+        remaining_ms = document.get('remainingMs')
         return WorkerEntry(
             id=worker_id,
             started_ms=int(document.get('born') or 0),
@@ -233,18 +238,20 @@
             state=WorkerState(document['state']),
             capacity=_decode_room(document['capacity']),
             labels=labels,
-            # What is left at the least, not what has run.
-            drain_seconds=None if leaves is None else float(leaves) / 1000,
+            # 'remainingMs' is the least time that the worker stays.
+            drain_seconds=None
+            if remaining_ms is None
+            else float(remaining_ms) / 1000,
         )
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
 
 
 def decode_worker_report(body: bytes) -> WorkerReport:
-    """Decodes a worker's lists.
+    """Decodes a worker's answer to a poll.
 
     Raises:
-      ValueError: The body is not in the form agreed.
+      ValueError: The body is malformed.
     """
     document = orjson.loads(body)
     try:
@@ -254,19 +261,22 @@
             clock_ms=int(document['clockMs']),
             running=tuple(map(_decode_running, document.get('running') or ())),
             ended=tuple(
-                EndReport(int(n), task, int(run), EndKind(how), saved or '')
-                for n, task, run, how, saved in document.get('ended') or ()
+                EndReport(
+                    int(n), task, int(run), EndKind(kind), checkpoint or ''
+                )
+                for n, task, run, kind, checkpoint in document.get('ended')
+                or ()
             ),
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f'lists of a worker: {error!r}') from error
+        raise ValueError(f"worker's report is malformed: {error!r}") from error
 
 
 def _decode_running(row: list[Any]) -> RunReport:
-    # The fourth entry is progress, not the share set by slowing down.
-    task, run, saved, progress = row[:4]
-    # The fifth entry is a tail in ms for a task that serves, and thousandths
-    # of a core in use for all others; `usage` is in the same unit here, and
-    # the task's step tells which it is.
+    # The fourth entry is progress, not the CPU share set by throttling.
+    task, run, checkpoint, progress = row[:4]
+    # The fifth entry is the tail latency in ms for a serving task, and the CPU
+    # usage in thousandths of a core for all others. `usage` keeps this unit;
+    # the task's step determines which one applies.
     figure = float(row[4]) if len(row) > 4 else None
-    return RunReport(task, int(run), saved or '', int(progress), figure)
+    return RunReport(task, int(run), checkpoint or '', int(progress), figure)
--- a/lentilmount/platform/host_settings.py
+++ b/lentilmount/platform/host_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives a process."""
+"""Reads the settings file that the outer platform gives to a daemon."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Address:
-    """Where to listen or to call."""
+    """Host and port to listen on or to connect to."""
 
     host: str
     port: int
@@ -30,13 +30,13 @@
 
 @attrs.frozen
 class Times:
-    """Bounds that the platform and its users set, in seconds.
+    """Time limits set by the platform and its users, in seconds.
 
     Attributes:
-      grace: From the signal to stop to the kill.
-      lease: Longest lease that a worker grants.
-      status: How long a finished job's state is kept.
-      apply: In which a change of the configuration is to be in force.
+      grace: Time from the stop signal to the kill.
+      lease: Longest lease that a worker accepts.
+      status: Time for which the state of a finished job is kept.
+      apply: Time within which a configuration change must be in force.
     """
 
     grace: float
@@ -47,12 +47,12 @@
 
 @attrs.frozen
 class Capacity:
-    """What a host gives to all processes on it.
+    """Capacity of a host, shared by all processes on it.
 
     Attributes:
-      cores: Processor, as a multiple of one core that runs all the time. A
-        host may have a share of a core that is several times as fast.
-      link_mbps: Bandwidth of its own link.
+      cores: CPU, in cores that run all the time. A host may have a share of a
+        core that is several times as fast.
+      link_mbps: Bandwidth of its network link, in Mbit/s.
     """
 
     cores: float
@@ -61,18 +61,18 @@
 
 @attrs.frozen
 class HostSettings:
-    """What a daemon is told about its host and the platform.
+    """Settings of a daemon: its host, addresses, capacity and time limits.
 
     Attributes:
       name: Name of the host.
       zone: Its availability zone.
-      frontend: Where clients connect.
-      readiness: Where the balancer asks whether the daemon is ready.
+      frontend: Address for clients.
+      readiness: Address for readiness checks of the load balancer.
       internal: Address for other daemons.
-      store: The table service.
-      advice: The service that knows which workers may run a step, or None.
-      capacity: What the host has.
-      times: Bounds.
+      store: Address of the table service.
+      advice: Address of the advice service, or None if there is none.
+      capacity: Capacity of the host.
+      times: Time limits.
     """
 
     name: str
@@ -90,21 +90,23 @@
     """Returns the path of the settings file.
 
     Raises:
-      SettingsError: The environment does not name one.
+      SettingsError: The environment variable is not set.
     """
     path = os.environ.get(PATH_VARIABLE, '')
     if not path:
         raise SettingsError(
-            f'{PATH_VARIABLE} is not set; set it to the path of the settings'
+            f'{PATH_VARIABLE} is not set; set it to the path of the settings '
+            'file'
         )
     return path
 
 
 def read_host_settings(path: str) -> HostSettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-      SettingsError: Naming every field that is missing or wrong.
+      SettingsError: The file can't be read, or fields are missing or invalid;
+        the error lists all of them.
     """
     try:
         with open(path, encoding='utf-8') as file:
@@ -118,7 +120,7 @@
     """Decodes the fields of a settings file; unknown ones are ignored.
 
     Raises:
-      SettingsError: Naming every field that is missing or wrong.
+      SettingsError: Fields are missing or invalid; the error lists all of them.
     """
     fields = _Fields(document)
     ip = fields.get_text('ip')
@@ -129,6 +131,7 @@
         readiness=fields.get_address('listenAddrs.readiness'),
         internal=Address(ip, int(fields.get_number('internalPorts.0'))),
         store=fields.get_address('platform.address'),
+        # 'recommendation' is the advice service.
         advice=fields.find_address('recommendation'),
         capacity=Capacity(
             cores=fields.get_number('limits.cpuShare')
@@ -137,6 +140,7 @@
         ),
         times=Times(
             grace=fields.get_number('bounds.graceS'),
+            # 'maxHoldMs' bounds the leases that workers accept.
             lease=fields.get_number('bounds.maxHoldMs') / 1000,
             status=fields.get_number('bounds.status_s'),
             apply=fields.get_number('bounds.configApplyMs') / 1000,
@@ -149,7 +153,7 @@
 
 
 class _Fields:
-    """Reads fields by dotted path and collects what is wrong with them."""
+    """Reads fields by dotted path and collects their problems."""
 
     def __init__(self, document: Any):
         self._document = document
@@ -166,27 +170,27 @@
                 return None
         return value
 
-    def _complain(self, path: str, problem: str) -> None:
+    def _add_problem(self, path: str, problem: str) -> None:
         self.problems.append(FieldProblem(path, problem, FIX))
 
     def get_text(self, path: str) -> str:
         value = self._find(path)
         if isinstance(value, str) and value:
             return value
-        self._complain(path, 'must be a text that is not empty')
+        self._add_problem(path, 'must be a non-empty string')
         return ''
 
     def get_number(self, path: str) -> float:
         value = self._find(path)
         if isinstance(value, int | float) and not isinstance(value, bool):
             return float(value)
-        self._complain(path, 'must be a number')
+        self._add_problem(path, 'must be a number')
         return 0.0
 
     def get_address(self, path: str) -> Address:
         found = self.find_address(path)
         if found is None:
-            self._complain(path, 'must be HOST:PORT')
+            self._add_problem(path, 'must be HOST:PORT')
         return found or Address('', 0)
 
     def find_address(self, path: str) -> Address | None:
@@ -195,6 +199,6 @@
             return None
         host, _, port = value.rpartition(':')
         if not host or not port.isdigit():
-            self._complain(path, 'must be HOST:PORT')
+            self._add_problem(path, 'must be HOST:PORT')
             return None
         return Address(host, int(port))
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -1,4 +1,4 @@
-"""Daemons as processes, on a platform of stand-ins in the test's process."""
+"""Fixtures: daemon processes on a stand-in platform in the test's process."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def make_configuration(version: int, prefix: str = PREFIX) -> bytes:
-    """Returns what operators write."""
+    """Returns a configuration document, as operators write it."""
     return orjson.dumps(
         {
             'version': version,
@@ -64,7 +64,7 @@
 
 
 def make_settings(store: str, **fields: Any) -> dict[str, Any]:
-    """Returns a settings file's document."""
+    """Returns the content of a settings file."""
     document = {
         'nodeName': 'host-1',
         'zone': 'north',
@@ -89,25 +89,29 @@
 
 @attrs.define
 class Daemon:
-    """A daemon's process and its log."""
+    """A daemon process and its log lines."""
 
     process: asyncio.subprocess.Process
     lines: list[dict[str, Any]] = attrs.Factory(list)
 
     def get_address(self, name: str) -> str:
-        """Returns where it listens, or '' before it tells."""
+        """Returns an address that it listens on, or '' before it has logged it.
+
+        Args:
+          name: Name of the listener, such as 'frontend'.
+        """
         for line in self.select(message='Started.'):
             return str(line[name])
         return ''
 
     async def read_log(self) -> None:
-        """Collects its log lines."""
+        """Collects its log lines until it exits."""
         assert self.process.stdout is not None
         async for line in self.process.stdout:
             self.lines.append(json.loads(line))
 
     def select(self, **fields: Any) -> list[dict[str, Any]]:
-        """Returns the lines that have these fields."""
+        """Returns the log lines with these fields."""
         return [
             line
             for line in self.lines
@@ -117,7 +121,7 @@
 
 @attrs.define
 class PlatformFixture:
-    """The platform's stand-ins and the daemons on it."""
+    """The stand-ins of the platform, and the daemons started on it."""
 
     store: RowStore
     fleet: Fleet
@@ -129,7 +133,7 @@
     )
 
     def open_store_address(self) -> Door:
-        """Opens another address of the store, which can fail by itself."""
+        """Opens another address of the store, with faults of its own."""
         door = Door()
         door.address = serve_store(self.store, self.stack, door)
         return door
@@ -140,9 +144,9 @@
         """Starts a daemon and waits until it is ready.
 
         Args:
-          name: Its host's name.
-          store: Address of the store, if not the scene's.
-          **fields: Settings that differ from the scene's.
+          name: Name of its host.
+          store: Address of the store, if not the default one.
+          **fields: Settings that differ from the defaults.
         """
         document = make_settings(store or self.address, nodeName=name, **fields)
         path = self.folder / f'{name}.yaml'
@@ -165,7 +169,7 @@
         return daemon
 
     async def is_ready(self, daemon: Daemon) -> bool:
-        """Asks as the balancer does."""
+        """Returns the result of a readiness check."""
         address = daemon.get_address('readiness')
         if not address:
             return False
@@ -177,7 +181,7 @@
     async def call(
         self, daemon: Daemon, method: str, path: str, body: Any = None
     ) -> HTTPResponse:
-        """Sends a client's request."""
+        """Sends a request of a client."""
         request = HTTPRequest(
             f'http://{daemon.get_address("frontend")}{path}',
             method=method,
@@ -190,7 +194,7 @@
     async def submit(
         self, daemon: Daemon, job_id: str, payload: str = 'ok', **step: Any
     ) -> HTTPResponse:
-        """Hands in a job of one step."""
+        """Submits a job with one step."""
         steps = [
             {'count': 1, 'cpu': 1000, 'memMb': 500, 'estimatedMs': 100, **step}
         ]
@@ -198,7 +202,7 @@
         return await self.call(daemon, 'POST', PREFIX + job_id, body)
 
     async def get_state(self, daemon: Daemon, job_id: str) -> str:
-        """Returns a job's state, or the status of the answer."""
+        """Returns a job's state, or the HTTP status if it is not 200."""
         answer = await self.call(daemon, 'GET', PREFIX + job_id)
         if answer.code != 200:
             return str(answer.code)
@@ -208,15 +212,15 @@
     async def wait_for_state(
         self, daemon: Daemon, job_id: str, state: str
     ) -> None:
-        """Waits until a job is shown in a state."""
+        """Waits until a daemon reports a state of a job."""
 
-        async def is_there() -> bool:
+        async def is_reached() -> bool:
             return await self.get_state(daemon, job_id) == state
 
-        await self.wait_for(is_there)
+        await self.wait_for(is_reached)
 
     async def wait_for(self, check: Any) -> None:
-        """Waits until something is so."""
+        """Waits until an asynchronous check returns True."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not await check():
                 await asyncio.sleep(0.05)
@@ -225,18 +229,18 @@
 async def wait_for_line(
     platform: PlatformFixture, daemon: Daemon, message: str
 ) -> None:
-    """Waits until a daemon has written a line to its log."""
+    """Waits until a daemon has logged a message."""
 
-    async def is_told() -> bool:
+    async def is_logged() -> bool:
         return bool(daemon.select(message=message))
 
-    await platform.wait_for(is_told)
+    await platform.wait_for(is_logged)
 
 
 async def end_process(
     process: asyncio.subprocess.Process, reader: asyncio.Task[None]
 ) -> None:
-    """Ends a daemon of this test, if it still runs."""
+    """Kills a daemon process if it still runs."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGKILL)
@@ -245,7 +249,7 @@
 
 
 def listen(app: Application, stack: contextlib.AsyncExitStack) -> str:
-    """Serves an application on any free port; returns the address."""
+    """Serves an application on a free port; returns the address."""
     sockets = bind_sockets(0, '127.0.0.1')
     server = HTTPServer(app)
     server.add_sockets(sockets)
@@ -256,7 +260,7 @@
 def serve_store(
     store: RowStore, stack: contextlib.AsyncExitStack, door: Door
 ) -> str:
-    """Serves a store; returns the address."""
+    """Serves a stand-in of the table service; returns the address."""
     return listen(make_row_service(store, door), stack)
 
 
@@ -264,7 +268,7 @@
 async def open_platform(
     folder: pathlib.Path, workers: int = 2
 ) -> AsyncIterator[PlatformFixture]:
-    """Opens the platform's stand-ins."""
+    """Opens the stand-ins of the platform."""
     async with contextlib.AsyncExitStack() as stack:
         store = RowStore()
         store.write(('op', '', 'config'), make_configuration(1))
@@ -278,23 +282,23 @@
 def open_store(
     stack: contextlib.AsyncExitStack,
 ) -> tuple[RowStore, HttpClient]:
-    """Opens a stand-in of the table service, and what calls it."""
+    """Opens a stand-in of the table service and an HTTP client for it."""
     store = RowStore()
-    caller = HttpClient(f'http://{serve_store(store, stack, Door())}')
-    stack.callback(caller.close)
-    return store, caller
+    http_client = HttpClient(f'http://{serve_store(store, stack, Door())}')
+    stack.callback(http_client.close)
+    return store, http_client
 
 
 @contextlib.asynccontextmanager
 async def open_table() -> AsyncIterator[tuple[RowStore, PlatformTable]]:
-    """Opens a stand-in of the table service and the client on it."""
+    """Opens a stand-in of the table service and its `PlatformTable`."""
     async with contextlib.AsyncExitStack() as stack:
-        store, caller = open_store(stack)
-        yield store, PlatformTable(caller, 0.5)
+        store, http_client = open_store(stack)
+        yield store, PlatformTable(http_client, 0.5)
 
 
 class BlockedTable(PlatformTable):
-    """A store of which reading the jobs takes until it is let through."""
+    """A table client whose reads of the jobs block until `gate` is set."""
 
     gate: asyncio.Event
 
@@ -308,9 +312,9 @@
 def open_blocked_table(
     stack: contextlib.AsyncExitStack,
 ) -> tuple[RowStore, BlockedTable]:
-    """Opens a stand-in of the table service with a gate before the jobs."""
-    store, caller = open_store(stack)
-    table = BlockedTable(caller, 1.0)
+    """Opens a stand-in of the table service and a client that blocks."""
+    store, http_client = open_store(stack)
+    table = BlockedTable(http_client, 1.0)
     table.gate = asyncio.Event()
     return store, table
 
@@ -322,7 +326,7 @@
 def make_election(
     table: PlatformTable, candidates: Candidates
 ) -> ServiceElection:
-    """Returns a campaign for which every larger host can own."""
+    """Returns an election in which every larger host can own the service."""
     return ServiceElection(
         OwnerSettings(SERVICE, 6.0, 120.0),
         table,
@@ -339,11 +343,11 @@
 
 @attrs.define
 class FakeOutageDetector(OutageDetector):
-    """Asks daemons that answer as told.
+    """An outage detector with predefined answers of its peers.
 
     Attributes:
-      ages_by_peer: For how long the store has been silent at each; None for no
-        answer.
+      ages_by_peer: Seconds since the store last answered each peer; None for a
+        peer that does not answer.
     """
 
     ages_by_peer: dict[str, float | None] = attrs.field(kw_only=True)
@@ -355,10 +359,10 @@
 def make_outage_detector(
     ages: dict[str, float | None], clock: ManualClock
 ) -> OutageDetector:
-    """Returns what a daemon knows when the store has failed for a second."""
-    watch = StoreHealth(clock.monotonic, SERVICE)
-    watch.record(True)
+    """Returns the detector of a daemon whose calls have failed for a second."""
+    health = StoreHealth(clock.monotonic, SERVICE)
+    health.record(True)
     clock.advance(1.0)
-    watch.record(False)
+    health.record(False)
     peers = PeerList('a', ('a', *ages))
-    return FakeOutageDetector(watch, HttpClient(''), peers, ages_by_peer=ages)
+    return FakeOutageDetector(health, HttpClient(''), peers, ages_by_peer=ages)
--- a/tests/test_diagnostic_logs.py
+++ b/tests/test_diagnostic_logs.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by logs alone."""
+"""Diagnosis from logs and metrics: from a job id to the cause of a failure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def write_logs(folder: pathlib.Path, *daemons: Daemon) -> list[str]:
-    """Writes what daemons have told to a file each."""
+    """Writes the log lines of daemons to one file each."""
     names = []
     for number, daemon in enumerate(daemons):
         path = folder / f'host-{number}.log'
@@ -35,7 +35,7 @@
 
 
 async def trace(*args: str) -> str:
-    """Runs the tool's command beside the loop; returns its output."""
+    """Runs the tool's trace command in a thread; returns its output."""
     status, out, _ = await asyncio.to_thread(run_tool, 'trace', *args)
     assert status is ExitStatus.OK
     return out
@@ -51,9 +51,9 @@
 
 
 def test_a_refused_request_is_explained(tmp_path: pathlib.Path) -> None:
-    """A caller is refused while the store turns calls away."""
+    """A client is refused while the store rejects calls."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             platform.store.fault = Fault.REFUSE
@@ -63,13 +63,13 @@
             assert 'frontend: Refused' in out
             assert 'kind=store-unavailable' in out
 
-    run(play())
+    run(scenario())
 
 
 def test_a_late_job_is_explained(tmp_path: pathlib.Path) -> None:
-    """A trace did not tell why a job was late."""
+    """A trace did not show why a job was late."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             first = await platform.start('host-1')
             await platform.submit(first, 'f' * 16)
@@ -89,13 +89,13 @@
             started = second.select(part='owner', message='Starting.')
             assert taken[0]['time'] < started[0]['time']
 
-    run(play())
+    run(scenario())
 
 
 def test_all_starts_of_a_busy_owner_can_be_traced(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Most starts of a busy owner were left out of its log."""
+    """Most starts of a busy owner were missing from its log."""
     path = tmp_path / 'owner.log'
     starts = [(f'{n:016x}.0.0.{n}', 1, f'w-{n}') for n in range(700)]
     with (
@@ -111,7 +111,7 @@
 
 
 def test_a_failed_job_is_explained(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
                 worker.fails.add('bad')
@@ -125,10 +125,10 @@
             assert 'worker=i-0' in ends[0] + ends[1]
             assert 'worker=i-1' in ends[0] + ends[1]
 
-    run(play())
+    run(scenario())
 
 
-def test_an_id_that_nobody_speaks_of(tmp_path: pathlib.Path) -> None:
+def test_an_id_without_log_lines(tmp_path: pathlib.Path) -> None:
     path = tmp_path / 'log'
     path.write_text('Traceback\n{"message": "x"}\n{broken\n', 'utf-8')
     status, _, error = run_tool('trace', JOB, str(path))
@@ -139,7 +139,7 @@
 
 
 def test_metrics_are_served(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             await platform.submit(daemon, JOB)
@@ -152,7 +152,7 @@
             assert 'lentilmount_ends_total{how="done"} 1' in text
             assert 'lentilmount_store_calls_total{status="200"}' in text
 
-    run(play())
+    run(scenario())
 
 
 def test_the_deploy_file_is_valid() -> None:
@@ -188,8 +188,8 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_a_kind_of_line_has_a_budget() -> None:
-    """A fault that repeats thousands of times a second filled the log."""
+def test_repeated_log_lines_are_limited() -> None:
+    """A fault that recurred thousands of times a second flooded the log."""
     reader, writer = os.pipe()
     now = [10.0]
     log = logbook.Logger('part')
@@ -209,7 +209,7 @@
 
 
 def test_a_full_pipe_does_not_block() -> None:
-    """A daemon whose output nobody reads stood still."""
+    """A daemon blocked when nobody read its output."""
     reader, writer = os.pipe()
     now = [0.0]
     log = logbook.Logger('part')
@@ -225,7 +225,9 @@
             log.info('Back.')
         data += os.read(reader, 1_000_000)
     whole = data.split(b'\n')[:-1]
-    told = [json.loads(line).get('dropped_before', 0) for line in whole]
-    assert sum(told) + len(whole) >= 3000
+    dropped_counts = [
+        json.loads(line).get('dropped_before', 0) for line in whole
+    ]
+    assert sum(dropped_counts) + len(whole) >= 3000
     os.close(reader)
     os.close(writer)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Pages say what is served, and their commands work."""
+"""Checks of the documentation against the code, and of its commands."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def list_fields(cls: Any, path: str, given: Any = None) -> Iterator[list[str]]:
-    """Yields path, type and default of each field, as pages give them."""
+    """Yields path, type and default of each field, as in the pages."""
     attrs.resolve_types(cls)
     for name, field in attrs.fields_dict(cls).items():
         default = getattr(given, name, field.default)
@@ -115,7 +115,7 @@
 
 def test_the_routes(site: Site) -> None:
     header = '| method | route | what it does |'
-    told = {
+    documented = {
         (method, route.strip('`'))
         for method, route, _ in read_rows(API / 'README.md', header)
     }
@@ -132,7 +132,7 @@
             if len(methods) == len(_METHODS):
                 methods = ['any']
             served |= {(method, route) for method in methods}
-    assert told == served
+    assert documented == served
 
 
 def _list_methods(handler: type) -> set[str]:
@@ -181,17 +181,17 @@
 
 
 def test_the_metrics() -> None:
-    told = ' '.join(
+    documented = ' '.join(
         row[0]
         for row in read_rows(
             DOCS / 'operators' / 'README.md', '| metric | meaning |'
         )
     )
     for name in GAUGES:
-        assert f'`{name}`' in told
+        assert f'`{name}`' in documented
 
 
-def test_links_between_pages_lead_somewhere() -> None:
+def test_links_between_pages_resolve() -> None:
     for page in [ROOT / 'README.md', *DOCS.rglob('*.md')]:
         for target in re.findall(r'\]\(([^):#]+)\)', page.read_text('utf-8')):
             assert (page.parent / target).exists(), f'{page.name}: {target}'
--- a/tests/test_job_states.py
+++ b/tests/test_job_states.py
@@ -1,4 +1,4 @@
-"""What callers are told of a job, against what workers do."""
+"""Job states as clients see them, compared with the workers' runs."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 JOB = '0123456789abcdef'
 
 SETTLED_SECONDS = 1.5
-"""More than a write of what was placed, and a reading of it."""
+"""Longer than recording a placement and reading it."""
 
 
 def test_a_job_is_not_shown_as_running_before_a_worker_has_begun_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A job was shown as running when its start was decided."""
+    """A job was shown as running as soon as its start was decided."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             for worker in platform.fleet.workers:
@@ -35,4 +35,4 @@
             await platform.wait_for_state(daemon, JOB, 'running')
             assert any(worker.running for worker in platform.fleet.workers)
 
-    run(play())
+    run(scenario())
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts nothing off; a kill loses answers but doubles nothing."""
+"""A graceful shutdown drops no requests; a kill makes none run twice."""
 
 import contextlib
 import http.client
@@ -92,7 +92,7 @@
 
 
 class Caller(threading.Thread):
-    """Sends one request after the other on kept connections."""
+    """Sends requests one after the other on a persistent connection."""
 
     def __init__(self, process: Process, until: float):
         super().__init__()
@@ -112,8 +112,8 @@
             self.answers.append((time.monotonic(), status, closing))
 
 
-def test_a_planned_stop_cuts_nothing_off(deployment: Deployment) -> None:
-    """A planned stop cut requests that were under way or yet to come."""
+def test_a_planned_stop_drops_no_requests(deployment: Deployment) -> None:
+    """A planned stop dropped requests that were in flight or came later."""
     stopping = deployment.daemons['e0']
     slow = start_slow_request(stopping)
     callers = [Caller(stopping, time.monotonic() + 1.4) for _ in range(6)]
@@ -136,8 +136,8 @@
     assert {status for _, status, _ in answers} == {200}
     late = {c for at, _, c in answers if at > signalled + 2 * SERVICE_SECONDS}
     assert late == {'close'}
-    left = [deployment.daemons[name] for name in ('e1', 'e2')]
-    owned = [ask(daemon, 'GET', '/v1/status')['slices'] for daemon in left]
+    remaining = [deployment.daemons[name] for name in ('e1', 'e2')]
+    owned = [ask(daemon, 'GET', '/v1/status')['slices'] for daemon in remaining]
     assert sorted(owned) == [[], ['a/0']]
 
 
@@ -166,16 +166,16 @@
     return answer
 
 
-def test_a_killed_daemon_doubles_nothing(deployment: Deployment) -> None:
-    """After a kill a request ran twice, or was told as not run."""
+def test_a_killed_daemon_runs_no_request_twice(deployment: Deployment) -> None:
+    """After a kill a request ran twice, or was reported as not run."""
     killed = deployment.daemons['e2']
-    ends: list[str] = []
+    results: list[str] = []
 
     def call(name: str) -> None:
         try:
-            ends.append(str(send(connect(killed), name)[0]))
+            results.append(str(send(connect(killed), name)[0]))
         except (OSError, http.client.HTTPException):
-            ends.append('reset')
+            results.append('reset')
 
     names = [f'killed-{number}' for number in range(8)]
     threads = [threading.Thread(target=call, args=(n,)) for n in names]
@@ -185,7 +185,7 @@
     killed.kill()
     for thread in threads:
         thread.join()
-    assert ends == ['reset'] * 8
+    assert results == ['reset'] * 8
     time.sleep(SERVICE_SECONDS)
     workers = deployment.platform.addresses['workers'].values()
     served = [fetch_record(address)['served'] for address in workers]
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Decoding what the platform says, and calling its table."""
+"""Decoding documents of the platform, and calls to its table service."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         decode_host_settings(None)
 
 
-def test_a_job_survives_its_row() -> None:
+def test_a_job_is_restored_from_its_row() -> None:
     body = {
         'spec': 'text',
         'steps': [
@@ -134,11 +134,11 @@
         b'"capacity":[]}',
     ],
 )
-def test_an_unreadable_worker_is_none_to_use(value: bytes) -> None:
+def test_a_malformed_registration_is_ignored(value: bytes) -> None:
     assert decode_registration('i-1', value) is None
 
 
-def test_a_leaving_worker_is_read() -> None:
+def test_a_draining_worker_is_decoded() -> None:
     value = orjson.dumps(
         {
             'service': 's',
@@ -158,22 +158,22 @@
     assert entry.capacity == Room(16.0, 64, 1)
 
 
-def test_a_workers_lists_are_read() -> None:
+def test_a_worker_report_is_decoded() -> None:
     body = (
         b'{"clockMs":7,"born":3,"running":[["j.0.0.1",2,"cp",41,12.5]],'
         b'"ended":[[58,"j.0.0.2",1,"alone",""]]}'
     )
-    look = decode_worker_report(body)
-    assert (look.started_ms, look.clock_ms) == (3, 7)
-    assert look.running[0].usage == 12.5
-    assert look.ended[0].kind is EndKind.ALONE
+    report = decode_worker_report(body)
+    assert (report.started_ms, report.clock_ms) == (3, 7)
+    assert report.running[0].usage == 12.5
+    assert report.ended[0].kind is EndKind.ALONE
     for wrong in (b'', b'[]', b'{}', b'{"clockMs":1,"ended":[[1]]}'):
         with pytest.raises(ValueError):
             decode_worker_report(wrong)
 
 
-def test_an_older_configuration_never_comes_back() -> None:
-    """A row delivered late brought a removed route back."""
+def test_an_older_configuration_is_ignored() -> None:
+    """A row delivered late restored a removed route."""
     routes = RouteTable(ManualClock().monotonic, 2.0)
     routes.apply_row(RawRow('config', make_configuration(2, '/new/'), 20))
     routes.apply_row(RawRow('config', make_configuration(1, '/old/'), 10))
@@ -184,7 +184,7 @@
 
 
 def test_transactions_and_pages() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_table() as (_, table):
             version = await table.transact('t', [Put(KEY, {'n': 1}, ABSENT)])
             row = (await table.read([KEY]))[KEY]
@@ -205,11 +205,11 @@
             )
             assert others[0] not in await table.read([others[0]])
 
-    run(play())
+    run(scenario())
 
 
-def test_the_feed_tells_what_changed_and_when_it_cannot() -> None:
-    async def play() -> None:
+def test_the_feed_returns_changes_or_reports_lost_history() -> None:
+    async def scenario() -> None:
         async with open_table() as (store, table):
             start = (await table.read_all('mine', 'desk')).version
             waiting = asyncio.create_task(table.follow('mine', start, 5.0))
@@ -221,7 +221,7 @@
             with pytest.raises(HistoryLostError):
                 await table.follow('mine', start, 0.1)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -232,10 +232,10 @@
         (Fault.LOST_ANSWER, UnavailableError),
     ],
 )
-def test_failures_of_the_table_are_told_apart(
+def test_failures_of_the_table_are_distinguished(
     fault: Fault, kind: type[Exception]
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_table() as (store, table):
             store.fault = fault
             with pytest.raises(kind) as caught:
@@ -243,27 +243,27 @@
             refused = isinstance(caught.value, RefusedError)
             assert refused is (fault is Fault.REFUSE)
 
-    run(play())
+    run(scenario())
 
 
-def play_leases(
-    play: Callable[
+def run_lease_test(
+    scenario: Callable[
         [RowStore, PlatformTable, ManualClock], Coroutine[Any, Any, None]
     ],
 ) -> None:
-    """Runs a play of leases on a real client and a clock set by hand."""
+    """Runs a test on a client of a stand-in table and a manual clock."""
 
-    async def begin() -> None:
+    async def open_and_run() -> None:
         async with open_table() as (store, table):
-            await play(store, table, ManualClock())
+            await scenario(store, table, ManualClock())
 
-    run(begin())
+    run(open_and_run())
 
 
-async def take_lease(
+async def acquire_lease(
     table: PlatformTable, clock: ManualClock
 ) -> tuple[LeaseKeeper, Lease]:
-    """Takes the lease of the tests for the holder a."""
+    """Acquires the lease for holder 'a'."""
     keeper = LeaseKeeper(table, 'a', 2.0, clock.monotonic)
     lease = await keeper.try_acquire(KEY)
     assert lease is not None
@@ -271,10 +271,10 @@
 
 
 def test_a_lease_follows_the_tables_versions() -> None:
-    async def play(
+    async def scenario(
         store: RowStore, table: PlatformTable, clock: ManualClock
     ) -> None:
-        keeper, lease = await take_lease(table, clock)
+        keeper, lease = await acquire_lease(table, clock)
         store.write(('other', '', 'x'), b'1')
         await keeper.renew(lease)
         other = LeaseKeeper(table, 'b', 2.0, clock.monotonic)
@@ -286,16 +286,16 @@
         with pytest.raises(LeaseLostError):
             await keeper.renew(lease)
 
-    play_leases(play)
+    run_lease_test(scenario)
 
 
 def test_an_outage_does_not_cost_the_holder_its_lease() -> None:
     """After an outage another daemon took the lease before its holder."""
 
-    async def play(
+    async def scenario(
         store: RowStore, table: PlatformTable, clock: ManualClock
     ) -> None:
-        keeper, lease = await take_lease(table, clock)
+        keeper, lease = await acquire_lease(table, clock)
         other = LeaseKeeper(table, 'b', 2.0, clock.monotonic)
         assert await other.try_acquire(KEY) is None
         store.fault = Fault.REFUSE
@@ -306,13 +306,13 @@
         assert await other.try_acquire(KEY) is None
         await keeper.renew(lease)
 
-    play_leases(play)
+    run_lease_test(scenario)
 
 
 def test_a_dead_holder_of_the_same_host_is_not_waited_for() -> None:
-    """A host's new process waited for the lease of its own dead one."""
+    """A host's new process waited for the lease of its dead predecessor."""
 
-    async def play(
+    async def scenario(
         store: RowStore, table: PlatformTable, clock: ManualClock
     ) -> None:
         def make_keeper(host: str) -> LeaseKeeper:
@@ -334,16 +334,16 @@
         assert taken.epoch == lease.epoch + 1
         assert not again.has_observed_last_write(KEY)
 
-    play_leases(play)
+    run_lease_test(scenario)
 
 
 def test_an_outage_hides_the_holders_last_writes() -> None:
-    """A new holder took rows for true that an outage had left behind."""
+    """A new holder trusted rows that an outage had left outdated."""
 
-    async def play(
+    async def scenario(
         store: RowStore, table: PlatformTable, clock: ManualClock
     ) -> None:
-        keeper, lease = await take_lease(table, clock)
+        keeper, lease = await acquire_lease(table, clock)
         other = LeaseKeeper(table, 'b', 2.0, clock.monotonic)
         await other.try_acquire(KEY)
         assert not other.has_observed_last_write(KEY)
@@ -359,4 +359,4 @@
         assert await other.try_acquire(KEY) is not None
         assert not other.has_observed_last_write(KEY)
 
-    play_leases(play)
+    run_lease_test(scenario)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: real daemons, stand-ins for the rest."""
+"""End-to-end tests: real daemons on stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_a_job_is_completed_once(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             for _ in range(2):
@@ -29,13 +29,13 @@
             answer = await platform.call(daemon, 'GET', PREFIX)
             assert answer.body == b'{"pending":0}'
 
-    run(play())
+    run(scenario())
 
 
 def test_a_job_that_fails_is_failed_after_its_attempts(
     tmp_path: pathlib.Path,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
                 worker.fails.add('bad')
@@ -44,11 +44,11 @@
             await platform.wait_for_state(daemon, FIRST, 'failed')
             assert len(platform.fleet.list_starts()) == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_a_cancelled_job_is_stopped(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
                 worker.lasts.add('long')
@@ -64,11 +64,11 @@
 
             await platform.wait_for(is_stopped)
 
-    run(play())
+    run(scenario())
 
 
 def test_unknown_jobs_and_queues(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             assert await platform.get_state(daemon, FIRST) == '410'
@@ -80,11 +80,11 @@
             assert answer.code == 400
             assert b'steps' in answer.body
 
-    run(play())
+    run(scenario())
 
 
 def test_a_new_configuration_is_in_force(tmp_path: pathlib.Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             row = ('op', '', 'config')
@@ -98,15 +98,15 @@
             answer = await platform.call(daemon, 'GET', PREFIX)
             assert answer.code == 404
 
-    run(play())
+    run(scenario())
 
 
-def test_a_killed_owner_is_replaced_and_its_tasks_go_on(
+def test_a_killed_owner_is_replaced_and_its_tasks_continue(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A task that runs under a lost owner was started again by the next."""
+    """The next owner started a task again that a lost owner had started."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
                 worker.lasts.add('long')
@@ -128,13 +128,13 @@
             )
             assert starts == {f'{FIRST}.0.0.0': 1, f'{SECOND}.0.0.0': 1}
 
-    run(play())
+    run(scenario())
 
 
 def test_a_planned_stop_hands_the_service_over(
     tmp_path: pathlib.Path,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             first = await platform.start('host-1')
             await platform.submit(first, FIRST)
@@ -147,13 +147,13 @@
             messages = [line['message'] for line in first.lines]
             assert 'Released: desk.' in messages
 
-    run(play())
+    run(scenario())
 
 
 def test_a_refused_job_never_runs(tmp_path: pathlib.Path) -> None:
-    """A job that was told as refused ran later."""
+    """A job that was reported as refused ran later."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             platform.store.fault = Fault.REFUSE
@@ -171,15 +171,15 @@
             assert await platform.get_state(daemon, FIRST) == '410'
             await asyncio.sleep(0)
 
-    run(play())
+    run(scenario())
 
 
-def test_an_answer_lost_by_the_store_is_told_as_unknown(
+def test_an_answer_lost_by_the_store_is_reported_as_unknown(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A job whose answer was lost was told as refused, or ran twice."""
+    """A job whose answer was lost was reported as refused, or ran twice."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             platform.store.fault = Fault.LOST_SUBMISSION
@@ -195,4 +195,4 @@
             await platform.wait_for_state(daemon, FIRST, 'completed')
             assert len(platform.fleet.list_starts()) == 1
 
-    run(play())
+    run(scenario())
