--- a/lentilmount/daemon/__main__.py
+++ b/lentilmount/daemon/__main__.py
@@ -10,7 +10,7 @@
 
 from lentilmount import events
 from lentilmount.daemon.lifecycle import Daemon, print_addresses
-from lentilmount.daemon.reload import LIVE_TIMES, Change, Reloader
+from lentilmount.daemon.reload import RELOADABLE_TIMES, ApplySetting, Reloader
 from lentilmount.daemon.security import Security
 from lentilmount.errors import LentilmountError
 from lentilmount.logs import LEVELS, capture_libraries, make_handler
@@ -33,16 +33,16 @@
 """
 
 
-def _note_stop(stop: asyncio.Event) -> None:
+def _handle_stop_signal(stop: asyncio.Event) -> None:
     if stop.is_set():
-        log.info('Told to stop again; the stop is under way.')
+        log.info('Told to stop again; the daemon is already stopping.')
     stop.set()
 
 
-def _ignore_stops() -> None:
-    # The event loop takes its handlers with it, and a second SIGTERM would
-    # then meet the default action and turn a clean end into a death by
-    # signal.
+def _ignore_stop_signals() -> None:
+    # Closing the event loop removes its signal handlers. A second SIGTERM
+    # would then have its default action, and the process would end by the
+    # signal instead of with status 0.
     loop = asyncio.get_running_loop()
     for number in STOP_SIGNALS:
         loop.remove_signal_handler(number)
@@ -50,7 +50,7 @@
 
 
 def set_log_level(handler: logbook.Handler, level: str) -> None:
-    """Sets from which level on lines are logged."""
+    """Sets the minimum level of logged lines."""
     handler.level = LEVELS[level]
     events.log.level = LEVELS[level]
 
@@ -58,7 +58,7 @@
 def make_reloader(
     daemon: Daemon, read: Callable[[], Settings], handler: logbook.Handler
 ) -> Reloader:
-    """Builds what takes new settings while the daemon runs."""
+    """Builds the reloader that applies new settings to a running daemon."""
 
     def set_access(new: Settings) -> None:
         daemon.gate.replace(new.access)
@@ -66,15 +66,20 @@
     def set_level(new: Settings) -> None:
         set_log_level(handler, new.log_level)
 
-    def set_time(name: str) -> Change:
+    def set_time(name: str) -> ApplySetting:
         def change(new: Settings) -> None:
             daemon.set_time(name, getattr(new.times, name))
 
         return change
 
-    changes: dict[str, Change] = {'access': set_access, 'log_level': set_level}
-    changes |= {f'times.{name}': set_time(name) for name in LIVE_TIMES}
-    return Reloader(daemon.settings, read, changes, daemon.security.renew)
+    changes: dict[str, ApplySetting] = {
+        'access': set_access,
+        'log_level': set_level,
+    }
+    changes |= {f'times.{name}': set_time(name) for name in RELOADABLE_TIMES}
+    return Reloader(
+        daemon.settings, read, changes, daemon.security.reload_certificates
+    )
 
 
 async def run(
@@ -82,17 +87,17 @@
     read: Callable[[], Settings],
     handler: logbook.Handler,
 ) -> ExitStatus:
-    """Runs a daemon until it is told to stop.
+    """Runs a daemon until it fails or receives a signal to stop.
 
     Args:
-      settings: What it is told.
-      read: Reads the settings again.
-      handler: Where it logs to.
+      settings: The daemon's settings.
+      read: Reads the settings file again.
+      handler: The handler of log lines; its level can change.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, _note_stop, stop)
+        loop.add_signal_handler(number, _handle_stop_signal, stop)
     async with Daemon(settings) as daemon:
         reloader = make_reloader(daemon, read, handler)
         loop.add_signal_handler(signal.SIGHUP, reloader.reload)
@@ -104,12 +109,12 @@
         if daemon.failed.is_set():
             return ExitStatus.ERROR
         await daemon.stop()
-    _ignore_stops()
+    _ignore_stop_signals()
     return ExitStatus.OK
 
 
 def main() -> int:
-    """Reads the settings and runs."""
+    """Parses the command line, reads the settings and runs the daemon."""
     parser = argparse.ArgumentParser(
         prog='lentilmountd',
         description='The daemon of an entry host.',
--- a/lentilmount/daemon/api.py
+++ b/lentilmount/daemon/api.py
@@ -1,4 +1,4 @@
-"""What every handler of the resource API stands on."""
+"""Base of the handlers of the resource API, and what they depend on."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 class StatusSource(Protocol):
-    """What can tell how the daemon is."""
+    """Provides the daemon's state, and notifies its parts of changes."""
 
     def describe(self) -> dict[str, Any]:
-        """Returns the daemon's state in plain values."""
+        """Returns the daemon's state as values that JSON can hold."""
 
     def find_fault(self) -> str:
-        """Returns why the daemon is not ready, or ''."""
+        """Returns why the daemon is not ready; empty if it is ready."""
 
     async def announce(self, submitted: Submitted) -> None:
-        """Tells the owner of a slice that its inbox has something new."""
+        """Notifies the owner of a slice of a new entry in its inbox."""
 
     async def reach(self, revision: int) -> None:
-        """Waits a while until an accepted revision is in force here."""
+        """Waits, with a timeout, until a revision is in force here."""
 
 
 @attrs.frozen
 class Api:
-    """The parts that the API stands on."""
+    """The objects that the API's handlers use."""
 
     gate: Gate
     configuration: Configuration
@@ -51,11 +51,11 @@
     events: EventLog
     status: StatusSource
     zones: tuple[str, ...]
-    most_watches: int = 64
+    max_watches: int = 64
 
 
 def find_kind(name: str) -> Kind:
-    """Finds a kind by its name in a route, such as services.
+    """Returns the kind with a name from a route, such as services.
 
     Raises:
       NotFoundError: There is no such kind.
@@ -68,7 +68,7 @@
 
 
 def list_visible(grant: Grant) -> frozenset[str] | None:
-    """Returns the teams whose things a grant sees; None for everything."""
+    """Returns the teams whose resources a grant may read; None for all."""
     return None if grant.sees_platform else frozenset({grant.team})
 
 
@@ -76,35 +76,37 @@
     """A handler of the resource API."""
 
     def initialize(self, api: Api) -> None:  # type: ignore[override]
-        """Keeps the parts."""
+        """Sets the objects that the handlers use."""
         super().initialize(api.gate)
         self.api = api
 
-    def read_number(self, name: str, default: int, most: int) -> int:
-        """Reads a number from the query.
+    def read_number(self, name: str, default: int, maximum: int) -> int:
+        """Returns a number from the query.
 
         Raises:
-          InvalidError: Not a whole number from 0 to `most`.
+          InvalidError: The value is not a whole number from 0 to `maximum`.
         """
         given = self.get_query_argument(name, str(default))
         number = int(given) if given.isdecimal() and len(given) < 20 else -1
-        if not 0 <= number <= most:
-            problem = f'must be a whole number from 0 to {most}, not {given!r}'
+        if not 0 <= number <= maximum:
+            problem = (
+                f'must be a whole number from 0 to {maximum}, not {given!r}'
+            )
             raise InvalidError(
                 f'{name} {problem}', fields=(FieldProblem(name, problem),)
             )
         return number
 
     def read_kind(self) -> Kind | None:
-        """Reads the kind from the query, if it is there."""
+        """Returns the kind given in the query, or None."""
         given = self.get_query_argument('kind', '')
         return find_kind(given) if given else None
 
     def read_team(self, grant: Grant) -> str:
-        """Reads the team from the query, and checks that it is visible.
+        """Returns the team given in the query, after checking access to it.
 
         Raises:
-          AccessError: The token is for another team.
+          AccessError: The token does not allow to read that team.
         """
         team = self.get_query_argument('team', '')
         grant.require(Verb.READ, team or grant.team)
--- a/lentilmount/daemon/bodies.py
+++ b/lentilmount/daemon/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: how large one may be, and how much all hold."""
+"""Limits on the size of request bodies, each and in total."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 RETRY_AFTER_SECONDS = 1.0
 
 BODY_LIMITS = 'body_limits'
-"""The application's setting that holds its `BodyLimits`."""
+"""Key of the application setting that holds its `BodyLimits`."""
 
 
 @attrs.define
 class BodyLimits:
-    """What the bodies of requests may take of the daemon's memory.
+    """Bounds the memory that request bodies take.
 
-    Large bodies that trickle in on many connections, each within its own
-    limit, would together take more memory than the host has. So what is
-    promised to all of them is counted, and a body that does not fit is
-    refused before it is read.
+    Large bodies that arrive slowly on many connections, each within its own
+    limit, could together exhaust the host's memory. So memory is reserved
+    before a body is read, and a body for which too little is left is refused.
 
     Attributes:
-      largest: Largest body, in bytes.
-      most_held: Most bytes that all bodies hold at once.
-      held: Bytes promised now.
+      largest: Maximum size of one body, in bytes.
+      most_held: Maximum total of the reservations, in bytes.
+      held: Total of the current reservations, in bytes.
     """
 
-    largest: int = 4 * 1024 * 1024
-    most_held: int = 16 * 1024 * 1024
-    held: int = 0
+    max_body_bytes: int = 4 * 1024 * 1024
+    max_total_bytes: int = 16 * 1024 * 1024
+    reserved_bytes: int = 0
 
-    def hold(self, size: int) -> None:
-        """Promises room for a body.
+    def reserve(self, size: int) -> None:
+        """Reserves memory for a body of `size` bytes.
 
         Raises:
           LentilmountError: Of kind TOO_LARGE or OVERLOADED.
         """
-        if size > self.largest:
+        if size > self.max_body_bytes:
             raise LentilmountError(
-                f'the body has {size} bytes; at most {self.largest} are taken',
+                f'the body has {size} bytes; '
+                f'the limit is {self.max_body_bytes} bytes',
                 kind=ErrorKind.TOO_LARGE,
             )
-        if self.held + size > self.most_held:
+        if self.reserved_bytes + size > self.max_total_bytes:
             raise LentilmountError(
-                'too many large bodies are on their way',
+                'too many large request bodies are being received; retry later',
                 kind=ErrorKind.OVERLOADED,
                 retry_after=RETRY_AFTER_SECONDS,
             )
-        self.held += size
+        self.reserved_bytes += size
 
     def release(self, size: int) -> None:
-        """Takes back what was promised."""
-        self.held -= size
+        """Releases memory reserved for a body."""
+        self.reserved_bytes -= size
--- a/lentilmount/daemon/callers.py
+++ b/lentilmount/daemon/callers.py
@@ -1,4 +1,4 @@
-"""The listener of callers: interactive requests."""
+"""Handler of interactive requests, which callers send."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
     """Routes one request to a service.
 
     Attributes:
-      gone: Whether the caller closed its connection.
+      is_disconnected: Whether the caller closed its connection.
     """
 
     def initialize(self, gate: Gate, router: Router) -> None:  # type: ignore[override]
-        """Keeps the router."""
+        """Sets the router."""
         super().initialize(gate)
         self.router = router
-        self.gone = False
+        self.is_disconnected = False
 
     async def respond(self, team: str, service: str, _: str) -> None:
-        """Answers with what the upstream answered."""
+        """Sends the request to an upstream, and its answer to the caller."""
         self.admit().require(Verb.CALL, team)
-        # The route's own match is decoded, and would name another path.
+        # The path matched by the route is decoded, which could change it.
         path = self.request.path.split('/', 4)[4]
         query = self.request.query
         call = Call(
@@ -52,13 +52,13 @@
             ),
             body=self.request.body,
             idempotent=self._is_idempotent(),
-            is_disconnected=lambda: self.gone,
+            is_disconnected=lambda: self.is_disconnected,
         )
         reply = await self.router.route(call, self._read_timeout())
-        if not self.gone:
-            self._pass_on(reply)
+        if not self.is_disconnected:
+            self._send_reply(reply)
 
-    def _pass_on(self, reply: Reply) -> None:
+    def _send_reply(self, reply: Reply) -> None:
         self.set_status(reply.status)
         self.clear_header('Content-Type')
         for name in {name for name, _ in reply.headers}:
@@ -68,8 +68,8 @@
         self.finish(reply.body)
 
     def on_connection_close(self) -> None:
-        """Takes note that the caller left; called by tornado."""
-        self.gone = True
+        """Records that the caller disconnected; called by tornado."""
+        self.is_disconnected = True
         super().on_connection_close()
 
     get = head = post = put = delete = patch = options = respond
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -1,4 +1,8 @@
-"""The parts of a daemon that work together with other daemons."""
+"""Builds and connects the parts of a daemon that talk to other daemons.
+
+These are membership, the heartbeats with peers, the follower of the
+configuration, and the owners of slices.
+"""
 
 from __future__ import annotations
 
@@ -36,23 +40,23 @@
 from lentilmount.upstream.workers import SyncClient
 from lentilmount.wire import peer_pb2
 
-ELIGIBLE_LOOK_SECONDS = 0.5
+ELIGIBILITY_CHECK_SECONDS = 0.5
 
 
 @attrs.frozen
-class Base:
-    """What the parts stand on.
+class ControlDependencies:
+    """The objects that `Control` is built from.
 
     Attributes:
-      settings: The daemon's settings, as it started.
-      clock: Its clocks.
-      table: The table.
+      settings: The settings that the daemon was started with.
+      clock: The wall clock and the monotonic clock.
+      table: The table service.
       hosts: The host list.
-      workers: How workers are reached.
-      events: The time line.
+      workers: Client for calls to workers.
+      events: Log of this daemon's events.
       configuration: The configuration in force.
-      directory: Which upstreams serve what.
-      security: How peers are checked.
+      directory: The upstreams of each service.
+      security: TLS contexts, also for calls to peers.
     """
 
     settings: Settings
@@ -67,68 +71,73 @@
 
 
 class Control:
-    """Membership, following, and the slices of one daemon.
+    """Membership, configuration, and owned slices of one daemon.
 
     Attributes:
-      slices: Every slice of the deployment.
-      membership: Who is there.
-      peers: Talks to the others.
+      slices: Names of all slices of the deployment.
+      membership: The known daemons and whether they are up.
+      peers: Exchanges heartbeats with the other daemons.
       follower: Keeps configuration and directory up to date.
-      registry: Keeps this daemon's row.
+      registry: Keeps this daemon's row among the member rows.
       manager: Runs the slices that this daemon owns.
-      host_list_seconds: Between two looks at the host list.
+      host_list_seconds: Period between two reads of the host list.
     """
 
-    def __init__(self, base: Base, router: Router, membership: Membership):
-        settings, times = base.settings, base.settings.times
-        monotonic = base.clock.monotonic
+    def __init__(
+        self,
+        dependencies: ControlDependencies,
+        router: Router,
+        membership: Membership,
+    ):
+        settings, times = dependencies.settings, dependencies.settings.times
+        monotonic = dependencies.clock.monotonic
         self.host_list_seconds = times.host_list
-        self.slices = name_slices(settings)
+        self.slices = list_slice_names(settings)
         self.membership = membership
-        self._base = base
+        self._dependencies = dependencies
         self._router = router
-        self._calls: set[asyncio.Task[None]] = set()
-        self._preference = OwnershipPolicy(
+        self._wake_calls: set[asyncio.Task[None]] = set()
+        self._ownership_policy = OwnershipPolicy(
             membership,
             OwnershipOptions(self.slices, times.settle, times.slice_lease),
             monotonic,
         )
         self.peers = Peers(
             membership,
-            base.events,
+            dependencies.events,
             PeerOptions(
                 settings.peers,
                 times.heartbeat,
                 times.silence,
                 settings.zone_links,
             ),
-            self._get_news,
-            self._take_news,
+            self._get_report,
+            self._handle_report,
             monotonic,
-            base.security.peer_client,
+            dependencies.security.peer_client,
             Gossip(router.pools),
         )
         router.pools.on_new_mark = self.peers.push
         self.follower = Follower(
-            base.table,
-            base.configuration,
-            base.directory,
+            dependencies.table,
+            dependencies.configuration,
+            dependencies.directory,
             self.slices,
-            base.events,
+            dependencies.events,
             times.poll,
             self._is_reader,
             self.peers.fetch_changes,
             self.peers.push,
         )
         self.registry = Registry(
-            base.table, membership, times.members, monotonic
+            dependencies.table, membership, times.members, monotonic
         )
         self.manager = SliceManager(
-            base.table,
-            base.workers,
-            base.configuration,
+            dependencies.table,
+            dependencies.workers,
+            dependencies.configuration,
             membership,
-            base.events,
+            dependencies.events,
             OwnerOptions(
                 SessionOptions(
                     sync_seconds=times.sync,
@@ -142,39 +151,41 @@
             settings.slices_per_zone,
             monotonic,
             self._announce_release,
-            self._preference,
+            self._ownership_policy,
         )
 
-    def list_work(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """Returns what has to run for as long as the daemon does."""
+    def list_background_coroutines(
+        self,
+    ) -> tuple[Coroutine[Any, Any, None], ...]:
+        """Returns the coroutines that run until the daemon stops."""
         return (
             self.follower.run(),
             self.peers.run(),
             self.manager.run(),
-            self._watch_hosts(),
+            self._poll_hosts(),
             WorkerFeed(self.manager, self._router.pools).run(),
             self.registry.run(),
-            self._watch_eligibility(),
-            run_housekeeping(self._base.table, self._is_housekeeper),
+            self._update_eligibility(),
+            run_housekeeping(self._dependencies.table, self._is_housekeeper),
         )
 
-    async def _watch_hosts(self) -> None:
+    async def _poll_hosts(self) -> None:
         while True:
             with contextlib.suppress(LentilmountError):
-                self.manager.hosts = await self._base.hosts.list_hosts()
+                self.manager.hosts = await self._dependencies.hosts.list_hosts()
                 self._router.pools.update_hosts(self.manager.hosts)
             await asyncio.sleep(self.host_list_seconds)
 
-    async def _watch_eligibility(self) -> None:
-        """Keeps this daemon from owning slices where it could not serve them.
+    async def _update_eligibility(self) -> None:
+        """Declares this daemon ineligible while it could not serve slices.
 
-        One that cannot reach the table loses its leases anyway; as long as
-        the others know, they do not hand it new ones.
+        A daemon that cannot reach the table loses its leases anyway. Other
+        daemons read the flag from heartbeats and assign it no slices.
         """
         while True:
-            able = self.follower.store_up and not self.registry.replaced
-            self.membership.set_eligible(able)
-            await asyncio.sleep(ELIGIBLE_LOOK_SECONDS)
+            is_eligible = self.follower.store_up and not self.registry.replaced
+            self.membership.set_eligible(is_eligible)
+            await asyncio.sleep(ELIGIBILITY_CHECK_SECONDS)
 
     def _is_housekeeper(self) -> bool:
         names = [m.name for m in self.membership.list_eligible()]
@@ -182,56 +193,56 @@
 
     def _is_reader(self, slice_name: str) -> bool:
         owned = slice_name in self.manager.owners
-        return owned or self._preference.is_preferred(slice_name)
+        return owned or self._ownership_policy.is_preferred(slice_name)
 
-    def _get_news(self) -> News:
-        return self.follower.get_news()
+    def _get_report(self) -> News:
+        return self.follower.get_report()
 
-    def _take_news(self, news: News) -> None:
-        self.follower.hear(news)
+    def _handle_report(self, report: News) -> None:
+        self.follower.handle_report(report)
 
     def answer_peer(
         self, request: peer_pb2.ChangesRequest
     ) -> peer_pb2.ChangesReply:
-        """Answers a peer that asks for changes."""
+        """Returns the changes that a peer requests."""
         return self.follower.answer(request)
 
     def get_positions(self) -> dict[str, int]:
-        """Returns the newest entry that is known of each change log."""
-        revision = self._base.configuration.revision
+        """Returns the newest known sequence number of each change log."""
+        revision = self._dependencies.configuration.revision
         return {CONFIGURATION_LOG: revision, **self.follower.logs.heads}
 
     def _announce_release(self, slice_name: str) -> None:
         work = self.peers.wake_owner(slice_name, get_zone(slice_name))
-        self._calls.add(task := asyncio.create_task(work))
-        task.add_done_callback(self._calls.discard)
+        self._wake_calls.add(task := asyncio.create_task(work))
+        task.add_done_callback(self._wake_calls.discard)
 
     async def wake_owner(self, slice_name: str) -> None:
-        """Tells whoever owns a slice that there is something new."""
+        """Notifies the owner of a slice that its inbox has a new entry."""
         if slice_name in self.manager.owners:
             self.manager.wake(slice_name)
             return
         await self.peers.wake_owner(slice_name, get_zone(slice_name))
 
     def stop(self) -> None:
-        """Tells peers that this daemon stops, and gives its slices up."""
+        """Announces the stop to peers and begins to release all slices."""
         self.membership.stop()
         self.peers.push()
         self.manager.stop()
 
     async def wait_released(self) -> None:
-        """Waits until the slices are given up and the next owners know."""
+        """Waits until all slices are released and their zones are notified."""
         await self.manager.wait_released()
-        await asyncio.gather(*self._calls)
+        await asyncio.gather(*self._wake_calls)
 
 
-def name_slices(settings: Settings) -> tuple[str, ...]:
-    """Names every slice of a deployment."""
+def list_slice_names(settings: Settings) -> tuple[str, ...]:
+    """Returns the names of all slices of a deployment."""
     return tuple(list_slices(settings.zones, settings.slices_per_zone))
 
 
 def make_membership(settings: Settings, clock: Clock) -> Membership:
-    """Builds the membership of a daemon that starts now."""
+    """Builds the membership with this daemon as its local member."""
     incarnation = int(time.time() * 1000)
     return Membership(
         Member(settings.name, settings.zone, '', incarnation),
--- a/lentilmount/daemon/draining.py
+++ b/lentilmount/daemon/draining.py
@@ -1,8 +1,8 @@
-"""Requests under way on the HTTP listeners, and how a stop ends them.
+"""Tracks requests in flight on the HTTP listeners, for a graceful shutdown.
 
-A request counts from its header to the end of its answer, also while its
-body arrives or its answer leaves. Counting calls to upstreams would miss
-both, and a stop would cut them off.
+A request counts from its header to the end of its answer, including the time
+in which its body is received and its answer is sent. Counting only calls to
+upstreams would miss both phases, and a shutdown would abort such requests.
 """
 
 from __future__ import annotations
@@ -13,17 +13,19 @@
 from tornado import httputil
 from tornado.httpserver import HTTPServer
 
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
-class _Watcher(httputil.HTTPMessageDelegate):
-    """Passes a request on, and notes when it begins."""
+class _RequestObserver(httputil.HTTPMessageDelegate):
+    """Forwards a request's events and reports when its header arrived."""
 
     def __init__(
-        self, inner: httputil.HTTPMessageDelegate, begin: Callable[[], None]
+        self,
+        inner: httputil.HTTPMessageDelegate,
+        begin_request: Callable[[], None],
     ):
         self._inner = inner
-        self._begin = begin
+        self._begin_request = begin_request
 
     def headers_received(
         self,
@@ -31,7 +33,7 @@
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
         """See the base class."""
-        self._begin()
+        self._begin_request()
         return self._inner.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
@@ -47,39 +49,39 @@
         self._inner.on_connection_close()
 
 
-class _WatchedApplication(httputil.HTTPServerConnectionDelegate):
-    """Serves as another application does, and counts its requests."""
+class _TrackedApplication(httputil.HTTPServerConnectionDelegate):
+    """Wraps an application and counts its requests in flight."""
 
     def __init__(
         self,
         inner: httputil.HTTPServerConnectionDelegate,
         drain: Drain,
-        is_awaited: bool,
+        delays_stop: bool,
     ):
         self._inner = inner
         self._drain = drain
-        self._is_awaited = is_awaited
+        self._delays_stop = delays_stop
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """See the base class; called when the one before has ended."""
-        self._drain.end(server_conn)
+        """See the base class; the connection's previous request has ended."""
+        self._drain.end_request(server_conn)
         delegate = self._inner.start_request(server_conn, request_conn)
 
-        def begin() -> None:
-            self._drain.begin(server_conn, self._is_awaited)
+        def begin_request() -> None:
+            self._drain.begin_request(server_conn, self._delays_stop)
 
-        return _Watcher(delegate, begin)
+        return _RequestObserver(delegate, begin_request)
 
     def on_close(self, server_conn: object) -> None:
         """See the base class."""
-        self._drain.end(server_conn)
+        self._drain.end_request(server_conn)
         self._inner.on_close(server_conn)
 
 
 class Drain:
-    """Knows the requests under way, and waits for their end.
+    """Counts requests in flight and waits until there are none.
 
     Args:
       monotonic: The clock for durations.
@@ -87,61 +89,67 @@
 
     def __init__(self, monotonic: Callable[[], float]):
         self._monotonic = monotonic
-        self._busy: set[object] = set()
+        self._active_connections: set[object] = set()
         self._servers: list[HTTPServer] = []
-        self._last_began = float('-inf')
+        self._last_request_at = float('-inf')
 
     @property
     def in_flight(self) -> int:
-        """How many requests are under way."""
-        return len(self._busy)
+        """Number of requests in flight."""
+        return len(self._active_connections)
+
+    def begin_request(self, connection: object, delays_stop: bool) -> None:
+        """Records that a request began on a connection.
 
-    def begin(self, connection: object, is_awaited: bool) -> None:
-        """Notes that a request began on a connection; see `wrap`."""
-        self._busy.add(connection)
-        if is_awaited:
-            self._last_began = self._monotonic()
+        Args:
+          connection: The connection.
+          delays_stop: See `wrap`.
+        """
+        self._active_connections.add(connection)
+        if delays_stop:
+            self._last_request_at = self._monotonic()
 
-    def end(self, connection: object) -> None:
-        """Notes that a connection has no request under way."""
-        self._busy.discard(connection)
+    def end_request(self, connection: object) -> None:
+        """Records that a connection has no request in flight."""
+        self._active_connections.discard(connection)
 
     def wrap(
         self,
         app: httputil.HTTPServerConnectionDelegate,
-        is_awaited: bool,
+        delays_stop: bool,
     ) -> httputil.HTTPServerConnectionDelegate:
         """Returns an application whose requests are counted.
 
         Args:
           app: The application.
-          is_awaited: Whether a stop waits until no more requests come. The
-            balancer asks for the health and the metrics for ever.
+          delays_stop: Whether a stop waits until no more requests arrive. False
+            for health checks and scrapes of metrics, which never cease.
         """
-        return _WatchedApplication(app, self, is_awaited)
+        return _TrackedApplication(app, self, delays_stop)
 
-    def watch(self, server: HTTPServer) -> None:
-        """Adds a server whose connections end when a stop begins."""
+    def add_server(self, server: HTTPServer) -> None:
+        """Registers a server for `refuse_keep_alive`."""
         self._servers.append(server)
 
     def refuse_keep_alive(self) -> None:
-        """Makes every further answer end its connection.
+        """Makes every further answer close its connection.
 
-        A balancer that keeps connections open would go on sending on them
-        and meet a reset when the process ends. With `Connection: close` it
-        opens the next connection elsewhere.
+        A load balancer with open connections would keep using them, and its
+        requests would fail with a reset when the process ends. After
+        `Connection: close` it opens the next connection to another daemon.
         """
         for server in self._servers:
             server.conn_params.no_keep_alive = True
 
-    async def wait_quiet(self, seconds: float) -> None:
-        """Waits until no request is under way and none began lately.
+    async def wait_idle(self, seconds: float) -> None:
+        """Waits until no request is in flight and none began recently.
 
         Args:
-          seconds: For how long none must have begun.
+          seconds: Minimum time since the last request that delays a stop
+            began.
         """
         while True:
-            quiet = self._monotonic() - self._last_began >= seconds
-            if quiet and not self._busy:
+            is_idle = self._monotonic() - self._last_request_at >= seconds
+            if is_idle and not self._active_connections:
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
--- a/lentilmount/daemon/feed.py
+++ b/lentilmount/daemon/feed.py
@@ -1,4 +1,4 @@
-"""Passes what the owner of a slice learns of its workers to the routing."""
+"""Forwards workers' reports from owned slices to the routing."""
 
 from __future__ import annotations
 
@@ -10,31 +10,32 @@
 from lentilmount.routing.pools import Pools
 from lentilmount.upstream.workers import Usage
 
-LOOK_SECONDS = 0.25
-"""A worker's word takes one sync, one look and one heartbeat to get around."""
+POLL_SECONDS = 0.25
+"""Period of the polls. A worker's state reaches the routing of a daemon after
+one sync, one poll and one heartbeat."""
 
 
 class WorkerFeed:
-    """Looks at the links of the slices that this daemon owns."""
+    """Polls the worker sessions of the slices that this daemon owns."""
 
     def __init__(self, manager: SliceManager, pools: Pools):
         self._manager = manager
         self._pools = pools
-        self._passed: dict[str, tuple[Usage, ...]] = {}
+        self._forwarded_usage: dict[str, tuple[Usage, ...]] = {}
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Polls until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             for owner in self._manager.owners.values():
                 for session in owner.sessions.values():
-                    self._pass_on(session)
+                    self._forward(session)
 
-    def _pass_on(self, session: WorkerSession) -> None:
-        # The same report taken in again with each look would outweigh what
-        # the callers' own answers show.
-        if self._passed.get(session.name) is not session.usage:
-            self._passed[session.name] = session.usage
+    def _forward(self, session: WorkerSession) -> None:
+        # A report that is applied again with each poll would outweigh what
+        # the answers to callers show.
+        if self._forwarded_usage.get(session.name) is not session.usage:
+            self._forwarded_usage[session.name] = session.usage
             self._pools.update_usage(session.usage)
         if session.record.leaving:
             mark = LeavingMark(session.name, session.record.boot)
--- a/lentilmount/daemon/follower.py
+++ b/lentilmount/daemon/follower.py
@@ -1,9 +1,9 @@
-"""Keeps the configuration and the directory up to date.
+"""Keeps the configuration and the upstream directory up to date.
 
-The table is looked at on a timer. Peers say in their heartbeats what they
-have; what they have and this daemon has not is asked of them first, so that
-a change spreads at once, costs the table little, and reaches daemons that
-are cut off from the table.
+The table is polled periodically. Heartbeats report which versions a peer has;
+what this daemon lacks is fetched from that peer first. So a change spreads at
+once, costs the table few reads, and reaches daemons that cannot reach the
+table.
 """
 
 from __future__ import annotations
@@ -32,10 +32,14 @@
 log = logbook.Logger('follower')
 
 JITTER = (0.75, 1.25)
-"""Daemons that start or heal together must not look at the same moment."""
+"""Range of random factors on the poll interval.
 
-FOREIGN_SLICES_AT_ONCE = 4
-"""Slices looked at beside those this daemon is there for; they rotate."""
+Daemons that start or reconnect together must not poll at the same moment.
+"""
+
+MAX_OTHER_SLICES_PER_POLL = 4
+"""Maximum number of never read slices that one poll adds to those that this
+daemon reads for others."""
 
 FetchChanges = Callable[
     [str, str, int], Awaitable['peer_pb2.ChangesReply | None']
@@ -43,21 +47,23 @@
 
 
 class Follower:
-    """Follows the table and the peers.
+    """Follows configuration and slice logs through the table and peers.
 
     Args:
-      table: The table.
-      configuration: What to keep up to date.
-      directory: What to keep up to date.
-      slices: Every slice.
-      events: The time line.
-      poll_seconds: Between two looks at the table.
-      is_reader: Tells whether this daemon reads a slice's log for others.
-      fetch: Asks a peer's address for the changes of a log after a number.
-      announce: Called when there is something new to tell peers.
+      table: The table service.
+      configuration: The configuration to keep up to date.
+      directory: The directory of upstreams to keep up to date.
+      slices: Names of all slices.
+      events: Log of this daemon's events.
+      poll_seconds: Mean period between two polls of the table.
+      is_reader: Returns whether this daemon reads a slice's log for others.
+      fetch: Fetches from a peer, given its address, a log's name and a
+        sequence number, the changes after that number.
+      announce: Called when this daemon has new versions to report to peers.
 
     Attributes:
-      store_up: Whether the table answered last time.
+      store_up: Whether the last poll of the table succeeded.
+      logs: The services of each slice, and the positions of their logs.
     """
 
     def __init__(
@@ -84,34 +90,34 @@
         self._fetch = fetch
         self._announce = announce
         self._announced: tuple[int, dict[str, int]] = (0, {})
-        self._told_revision = News()
+        self._newest_report = News()
         self._origins: dict[str, str] = {}
-        self._told_slices: dict[str, tuple[int, str]] = {}
+        self._peer_sequences: dict[str, tuple[int, str]] = {}
         self._wake = asyncio.Event()
-        self._heard = asyncio.Event()
+        self._peer_ahead = asyncio.Event()
 
     def wake(self) -> None:
-        """Makes the follower look at the table now."""
+        """Makes the follower poll the table now."""
         self._wake.set()
 
-    def hear(self, news: News) -> None:
-        """Takes note of what a peer has."""
-        self._configuration.note(news.revision)
-        if news.revision > self._told_revision.revision:
-            self._told_revision = news
-        if news.revision > self._configuration.revision:
-            self._heard.set()
-        for name, sequence in news.sequences.items():
-            if self.logs.note_head(name, sequence):
-                self._origins[name] = news.zone
-        for name, sequence in news.services.items():
-            if sequence >= self._told_slices.get(name, (0, ''))[0]:
-                self._told_slices[name] = (sequence, news.sender)
+    def handle_report(self, report: News) -> None:
+        """Records which versions a peer has; newer ones are fetched from it."""
+        self._configuration.note(report.revision)
+        if report.revision > self._newest_report.revision:
+            self._newest_report = report
+        if report.revision > self._configuration.revision:
+            self._peer_ahead.set()
+        for name, sequence in report.sequences.items():
+            if self.logs.update_head(name, sequence):
+                self._origins[name] = report.zone
+        for name, sequence in report.services.items():
+            if sequence >= self._peer_sequences.get(name, (0, ''))[0]:
+                self._peer_sequences[name] = (sequence, report.sender)
             if sequence > self.logs.get_sequence(name):
-                self._heard.set()
+                self._peer_ahead.set()
 
-    def get_news(self) -> News:
-        """Returns what there is to tell peers."""
+    def get_report(self) -> News:
+        """Returns the versions to report to peers."""
         return News(
             self._configuration.revision,
             self.logs.heads,
@@ -121,8 +127,8 @@
 
     async def run(self) -> None:
         """Follows until cancelled."""
-        # Apart, as a look at a table that is out takes seconds, and what
-        # peers have must not wait for that.
+        # Two tasks: a poll of an unavailable table takes seconds, and changes
+        # from peers must not wait for it.
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follow_table())
             group.create_task(self._follow_peers())
@@ -130,34 +136,34 @@
     async def _follow_table(self) -> None:
         while True:
             self._wake.clear()
-            await self._try_look()
-            self._announce_news()
+            await self._try_poll()
+            self._announce_changes()
             await wait_with_timeout(self._wake, self._get_pause())
 
     async def _follow_peers(self) -> None:
         while True:
-            await self._heard.wait()
-            self._heard.clear()
-            await self.ask_peers()
-            self._announce_news()
-
-    def _announce_news(self) -> None:
-        news = (self._configuration.revision, self.logs.list_services())
-        if news != self._announced:
-            self._announced = news
+            await self._peer_ahead.wait()
+            self._peer_ahead.clear()
+            await self.fetch_from_peers()
+            self._announce_changes()
+
+    def _announce_changes(self) -> None:
+        report = (self._configuration.revision, self.logs.list_services())
+        if report != self._announced:
+            self._announced = report
             self._announce()
 
     def _get_pause(self) -> float:
         return self._poll_seconds * random.uniform(*JITTER)
 
-    async def _try_look(self) -> None:
+    async def _try_poll(self) -> None:
         try:
-            await self.look()
-            self._note_store(True)
+            await self.poll_table()
+            self._record_store_state(True)
         except UnavailableError:
-            self._note_store(False)
+            self._record_store_state(False)
 
-    def _note_store(self, up: bool) -> None:
+    def _record_store_state(self, up: bool) -> None:
         if up == self.store_up:
             return
         self.store_up = up
@@ -165,8 +171,8 @@
         self._events.record('follower', kind)
         log.info('The table service is {}.', 'up' if up else 'down')
 
-    async def look(self) -> None:
-        """Reads what is new, in one call where nothing is.
+    async def poll_table(self) -> None:
+        """Reads changes from the table; takes one call where there are none.
 
         Raises:
           UnavailableError: The table does not answer.
@@ -180,19 +186,21 @@
             if key not in rows:
                 continue
             head = int(rows[key].body['data'].get('sequence', 0))
-            if self.logs.note_head(name, head):
+            if self.logs.update_head(name, head):
                 self._origins.pop(name, None)
-            await self.logs.follow(name, rows[key])
+            await self.logs.read_new_changes(name, rows[key])
 
     def _choose_slices(self) -> list[str]:
-        mine = [name for name in self._slices if self._is_reader(name)]
-        rest = [name for name in self._slices if name not in mine]
+        read_here = [name for name in self._slices if self._is_reader(name)]
+        rest = [name for name in self._slices if name not in read_here]
         unknown = [n for n in rest if self.logs.get_sequence(n) < 0]
-        # Peers tell of the rest; looking at one in turn mends what a lost
-        # reader leaves behind.
-        turn = [n for n in itertools.islice(self._rotation, 1) if n in rest]
-        others = unknown[:FOREIGN_SLICES_AT_ONCE] or turn
-        return [*mine, *others]
+        # Peers report changes of the rest. Polling one of them in turn covers
+        # slices whose reader has failed.
+        next_in_turn = [
+            n for n in itertools.islice(self._rotation, 1) if n in rest
+        ]
+        others = unknown[:MAX_OTHER_SLICES_PER_POLL] or next_in_turn
+        return [*read_here, *others]
 
     async def _follow_configuration(self, counter: Row) -> None:
         newest, configuration = counter.version, self._configuration
@@ -209,9 +217,9 @@
             snapshot = await read_snapshot(self._table)
             if snapshot is not None:
                 configuration.load(*snapshot)
-        self._note_revision(before)
+        self._record_revision(before)
 
-    def _note_revision(self, before: int) -> None:
+    def _record_revision(self, before: int) -> None:
         revision = self._configuration.revision
         if revision > before:
             self._events.record(
@@ -220,28 +228,30 @@
                 cause=f'revision {revision}',
             )
 
-    async def ask_peers(self) -> None:
-        """Gets what peers said that they have and this daemon has not."""
-        told = self._told_revision
+    async def fetch_from_peers(self) -> None:
+        """Fetches the changes that peers reported and this daemon lacks."""
+        newest_report = self._newest_report
         before = self._configuration.revision
-        if told.revision > before:
-            reply = await self._fetch(told.sender, CONFIGURATION_LOG, before)
+        if newest_report.revision > before:
+            reply = await self._fetch(
+                newest_report.sender, CONFIGURATION_LOG, before
+            )
             if reply is not None:
-                self.take_changes(reply)
-            self._note_revision(before)
+                self.apply_reply(reply)
+            self._record_revision(before)
             if self._configuration.is_behind:
-                self._told_revision = News()
+                self._newest_report = News()
                 self._wake.set()
-        for name, (sequence, sender) in list(self._told_slices.items()):
+        for name, (sequence, sender) in list(self._peer_sequences.items()):
             known = self.logs.get_sequence(name)
             if sequence > known and name in self._slices:
                 reply = await self._fetch(sender, name, known)
                 if reply is not None:
-                    self.logs.take(name, reply)
-                del self._told_slices[name]
+                    self.logs.apply_reply(name, reply)
+                del self._peer_sequences[name]
 
-    def take_changes(self, reply: peer_pb2.ChangesReply) -> None:
-        """Puts a peer's answer in force; what is old of it is ignored."""
+    def apply_reply(self, reply: peer_pb2.ChangesReply) -> None:
+        """Applies a peer's configuration changes; older ones are ignored."""
         if reply.snapshot:
             resources = [
                 structure_resource(json.loads(change.body))
@@ -261,7 +271,7 @@
         )
 
     def answer(self, request: peer_pb2.ChangesRequest) -> peer_pb2.ChangesReply:
-        """Answers a peer that is behind."""
+        """Returns the changes of a log after the sequence number requested."""
         if request.log != CONFIGURATION_LOG:
             return self.logs.answer(request.log, request.after)
         configuration = self._configuration
--- a/lentilmount/daemon/gossip.py
+++ b/lentilmount/daemon/gossip.py
@@ -1,4 +1,4 @@
-"""What heartbeats carry of the entry path: loads and leaving marks."""
+"""The routing's part of a heartbeat: upstream loads and leaving marks."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
         self._pools = pools
 
     def write(
-        self, message: peer_pb2.Heartbeat, zone: str, told: set[LeavingMark]
+        self, message: peer_pb2.Heartbeat, zone: str, sent: set[LeavingMark]
     ) -> None:
-        """Adds what a peer has to know.
+        """Adds loads and new leaving marks to a heartbeat.
 
         Args:
           message: The heartbeat.
-          zone: The peer's availability zone; '' before it is known.
-          told: The marks that were told on this stream; gets the new ones.
+          zone: The peer's availability zone; '' before its first heartbeat.
+          sent: The marks already sent on this stream; new ones are added.
         """
         for mark in self._pools.marks.list_marks():
-            if mark not in told:
-                told.add(mark)
+            if mark not in sent:
+                sent.add(mark)
                 message.leaving.add(worker=mark.worker, boot=mark.boot)
         if not zone:
             return
@@ -38,7 +38,7 @@
             )
 
     def read(self, message: peer_pb2.Heartbeat) -> None:
-        """Takes in what a peer told."""
+        """Applies the loads and leaving marks of a received heartbeat."""
         for leaving in message.leaving:
             mark = LeavingMark(leaving.worker, leaving.boot)
             self._pools.mark_leaving(mark, message.sender.name)
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -1,4 +1,8 @@
-"""Heartbeats as messages, and one stream of them between two daemons."""
+"""Encodes and decodes heartbeats, and exchanges them over a stream.
+
+Each end of a stream keeps track of what it has sent, so that a heartbeat
+carries only what has changed.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +19,28 @@
 from lentilmount.waiting import wait_with_timeout
 from lentilmount.wire import peer_pb2
 
-WHOLE_EVERY = 2
-"""Heartbeats of a stream of which one tells of others than the sender. The
-sender's own beat is what silence is judged by; the rest can wait a little."""
+FULL_HEARTBEAT_INTERVAL = 2
+"""One in this many heartbeats of a stream also describes other members. The
+sender's own beat decides whether it counts as up; the rest is less urgent."""
 
-BEATS_BEHIND = 1
-"""Beats by which the other end of a stream may lag before it is told."""
+MAX_BEAT_LAG = 1
+"""Maximum lag of the other end, in beats, before a newer beat is sent."""
 
 
 @attrs.define
 class News:
-    """What a heartbeat tells besides who is there.
+    """The versions of configuration and slices that a heartbeat reports.
 
     Attributes:
-      revision: The newest configuration in force at the sender.
-      sequences: The newest change of each slice.
-      services: The newest change of a service in each slice; the sender can
-        be asked for what leads up to it.
-      sender: Address of the daemon that told it; empty in what is told.
-      zone: Availability zone of that daemon.
-      origins: Zone of the daemon that told this one of a slice; absent for
-        what it read itself.
+      revision: Revision of the configuration in force at the sender.
+      sequences: Newest known sequence number of each slice's log.
+      services: Sequence number of the newest change of a service in each
+        slice; the sender can provide the changes up to it.
+      sender: Address of the daemon that sent the report; empty in outgoing
+        reports.
+      zone: Availability zone of the sender.
+      origins: Zone of the daemon that reported a slice's sequence number;
+        absent where this daemon read it from the table.
     """
 
     revision: int = 0
@@ -46,10 +51,10 @@
     origins: dict[str, str] = attrs.Factory(dict)
 
     def list_reports_for(self, zone: str) -> set[str]:
-        """Returns the slices of which a daemon in a zone has to be told.
+        """Returns the slices to report to a daemon in a zone.
 
-        What came from its own zone it heard from there, as within a zone
-        each talks to each.
+        Sequence numbers reported from that zone are left out, since all
+        daemons of a zone exchange heartbeats with each other.
         """
         return {
             name
@@ -59,12 +64,12 @@
 
 
 def write_member(member: Member) -> peer_pb2.Member:
-    """Builds the message of a member."""
+    """Converts a member to its protobuf message."""
     return peer_pb2.Member(**attrs.asdict(member))
 
 
 def read_member(message: peer_pb2.Member) -> Member:
-    """Reads the message of a member."""
+    """Converts a protobuf message to a member."""
     return Member(
         message.name,
         message.zone,
@@ -92,22 +97,24 @@
 
 
 @attrs.define
-class Told:
-    """What the two ends of a stream told each other, so that less follows.
+class StreamState:
+    """What the two ends of a stream have sent, to send only changes.
 
-    A stream delivers in order or breaks, and what breaks is forgotten with
-    it, so what was sent once need not be sent again.
+    A stream delivers in order or fails, and its state is discarded with it.
+    So what was sent once need not be sent again.
 
     Attributes:
-      turn: How many heartbeats this end sent.
-      peer: Id of the other end, once it is heard.
-      zone: Its availability zone.
-      beats: The newest beat that either end told, by member.
-      ids: Ids of the members that this end described.
-      sequences: What this end told of slices.
-      services: What this end told of services in slices.
-      missing: Ids of members that the other end does not hear straight.
-      marks: Leaving marks that this end told.
+      turn: Number of heartbeats that this end has sent.
+      peer: Id of the other end; 0 until its first heartbeat.
+      zone: Availability zone of the other end; empty until then.
+      beats: The newest beat that either end has sent, by member id.
+      ids: Ids of the members whose full description this end has sent.
+      sequences: Sequence numbers that this end has sent, by slice.
+      services: Sequence numbers of changes of services that this end has
+        sent, by slice.
+      missing: Ids of members from which the other end receives no
+        heartbeats directly.
+      marks: Leaving marks that this end has sent.
     """
 
     turn: int = 0
@@ -120,23 +127,23 @@
     missing: set[int] = attrs.Factory(set)
     marks: set[LeavingMark] = attrs.Factory(set)
 
-    def hear(self, known: Iterable[Member | MemberUpdate]) -> None:
-        """Takes note of what the other end knows."""
+    def record_beats(self, known: Iterable[Member | MemberUpdate]) -> None:
+        """Records the beats that the other end has sent."""
         for one in known:
             self.beats[one.id] = max(one.beat, self.beats.get(one.id, 0))
 
-    def take_members(
-        self, up: list[Member], is_wanted: Callable[[Member], bool]
+    def select_members(
+        self, up: list[Member], needs_beats: Callable[[Member], bool]
     ) -> tuple[list[Member], list[Member]]:
-        """Returns the members to describe, and those of which to tell beats.
+        """Selects the members to describe in full, and those to send beats of.
 
         Args:
           up: The members that are up.
-          is_wanted: Tells whether the other end needs a member's beats.
+          needs_beats: Returns whether the other end needs a member's beats.
         """
         present = {member.id: member for member in up}
-        # A member that went down may be forgotten at the other end, where
-        # beats alone would not bring it back.
+        # The other end may have removed a member that went down, and cannot
+        # add it again from a beat without a description.
         self.ids &= present.keys()
         for gone in self.beats.keys() - present.keys():
             del self.beats[gone]
@@ -144,11 +151,11 @@
         old: list[Member] = []
         for number, member in present.items():
             known = self.beats.get(number, -1)
-            if number == self.peer or known >= member.beat - BEATS_BEHIND:
+            if number == self.peer or known >= member.beat - MAX_BEAT_LAG:
                 continue
             if number not in self.ids:
                 new.append(member)
-            elif is_wanted(member):
+            elif needs_beats(member):
                 old.append(member)
             else:
                 continue
@@ -157,105 +164,115 @@
         return new, old
 
 
-def _take_changed(told: dict[str, int], now: dict[str, int]) -> dict[str, int]:
-    """Returns what is higher than was told, and notes it as told."""
+def _select_changed(
+    sent: dict[str, int], now: dict[str, int]
+) -> dict[str, int]:
+    """Returns the numbers higher than those sent, and records them as sent."""
     changed = {
         name: number
         for name, number in now.items()
-        if told.get(name, -1) < number
+        if sent.get(name, -1) < number
     }
-    told.update(changed)
+    sent.update(changed)
     return changed
 
 
 class Courier:
-    """Writes this daemon's heartbeats and reads those of others.
+    """Builds this daemon's heartbeats and processes those of peers.
 
     Args:
-      membership: Who is there.
-      hybrid: The clock of the time line.
-      get_news: Returns what this daemon tells.
-      take_news: Takes what a peer told.
-      gossip: Writes and reads what concerns the entry path.
+      membership: The known members; updated from received heartbeats.
+      hybrid: Hybrid logical clock that orders events of all daemons.
+      get_report: Returns the versions that this daemon reports.
+      handle_report: Handles the versions that a peer reports.
+      gossip: Writes and reads the routing's part of a heartbeat, if given.
     """
 
     def __init__(
         self,
         membership: Membership,
         hybrid: HybridClock,
-        get_news: Callable[[], News],
-        take_news: Callable[[News], None],
+        get_report: Callable[[], News],
+        handle_report: Callable[[News], None],
         gossip: Gossip | None = None,
     ):
         self._membership = membership
         self._hybrid = hybrid
-        self._get_news = get_news
-        self._take_news = take_news
+        self._get_report = get_report
+        self._handle_report = handle_report
         self._gossip = gossip
 
-    def write(self, told: Told, is_urgent: bool) -> peer_pb2.Heartbeat:
+    def write(self, state: StreamState, is_urgent: bool) -> peer_pb2.Heartbeat:
         """Builds the next heartbeat of a stream.
 
         Args:
-          told: What the stream told so far.
-          is_urgent: Whether there is news that must not wait.
+          state: What the stream has sent and received so far; updated.
+          is_urgent: Whether to include other members and slices regardless
+            of `FULL_HEARTBEAT_INTERVAL`.
         """
-        news = self._get_news()
+        report = self._get_report()
         stamp = self._hybrid.tick()
         message = peer_pb2.Heartbeat(
             sender=write_member(self._membership.local_member),
-            revision=news.revision,
+            revision=report.revision,
             stamp_millis=stamp.millis,
             stamp_counter=stamp.counter,
         )
-        told.turn += 1
+        state.turn += 1
         missing = [
             member.id for member in self._membership.list_not_heard_directly()
         ]
         message.missing.extend(missing)
-        if is_urgent or told.missing or told.turn % WHOLE_EVERY == 1:
-            self._add_others(message, told, news)
+        if (
+            is_urgent
+            or state.missing
+            or state.turn % FULL_HEARTBEAT_INTERVAL == 1
+        ):
+            self._add_others(message, state, report)
         if self._gossip is not None:
-            self._gossip.write(message, told.zone, told.marks)
+            self._gossip.write(message, state.zone, state.marks)
         return message
 
     def _add_others(
-        self, message: peer_pb2.Heartbeat, told: Told, news: News
+        self, message: peer_pb2.Heartbeat, state: StreamState, report: News
     ) -> None:
-        """Adds what is known of other members and of slices."""
-
-        def is_wanted(member: Member) -> bool:
-            # Within a zone each talks to each, so what came from the other
-            # end's zone it has from there, unless it says that it has not.
-            foreign = self._membership.get_source_zone(member.name) != told.zone
-            return foreign or member.id in told.missing
+        """Adds other members and the versions of slices, where changed."""
+
+        def needs_beats(member: Member) -> bool:
+            # Within a zone all daemons exchange heartbeats. So the other end
+            # has the beats that came from its zone, unless it reports the
+            # member as missing.
+            foreign = (
+                self._membership.get_source_zone(member.name) != state.zone
+            )
+            return foreign or member.id in state.missing
 
         up = self._membership.list_alive()
-        new, old = told.take_members(up, is_wanted)
+        new, old = state.select_members(up, needs_beats)
         message.members.extend(write_member(member) for member in new)
         message.beats.extend(_write_beat(member) for member in old)
-        names = news.list_reports_for(told.zone)
-        sequences = _choose(news.sequences, names)
-        services = _choose(news.services, names)
-        message.sequences.update(_take_changed(told.sequences, sequences))
-        message.services.update(_take_changed(told.services, services))
-
-    def read(self, message: peer_pb2.Heartbeat, told: Told) -> None:
-        """Takes in a heartbeat."""
+        names = report.list_reports_for(state.zone)
+        sequences = _select(report.sequences, names)
+        services = _select(report.services, names)
+        message.sequences.update(_select_changed(state.sequences, sequences))
+        message.services.update(_select_changed(state.services, services))
+
+    def read(self, message: peer_pb2.Heartbeat, state: StreamState) -> None:
+        """Processes a received heartbeat."""
         sender = read_member(message.sender)
-        told.peer, told.zone = sender.id, sender.zone
+        state.peer, state.zone = sender.id, sender.zone
         members = [read_member(member) for member in message.members]
         beats = [_read_beat(beat) for beat in message.beats]
-        told.hear(members)
-        told.hear(beats)
-        told.missing = set(message.missing)
+        state.record_beats(members)
+        state.record_beats(beats)
+        state.missing = set(message.missing)
         self._membership.observe_direct(sender)
         self._membership.observe(members, sender.zone)
         self._membership.advance(beats, sender.zone)
         self._hybrid.observe(Stamp(message.stamp_millis, message.stamp_counter))
         if self._gossip is not None:
             self._gossip.read(message)
-        self._take_news(
+        self._handle_report(
             News(
                 message.revision,
                 dict(message.sequences),
@@ -266,7 +283,7 @@
         )
 
 
-def _choose(numbers: dict[str, int], names: set[str]) -> dict[str, int]:
+def _select(numbers: dict[str, int], names: set[str]) -> dict[str, int]:
     return {name: n for name, n in numbers.items() if name in names}
 
 
@@ -274,47 +291,47 @@
     """Either end of a stream of heartbeats."""
 
     async def send_message(self, message: peer_pb2.Heartbeat) -> None:
-        """Sends one."""
+        """Sends a heartbeat."""
 
     async def recv_message(self) -> peer_pb2.Heartbeat | None:
-        """Receives one; None where the other end is done."""
+        """Receives a heartbeat; returns None at the end of the stream."""
 
 
 async def converse(
     stream: HeartbeatStream,
     courier: Courier,
-    pause: Callable[[], asyncio.Event],
+    get_urgent: Callable[[], asyncio.Event],
     interval: float,
     silence: float,
     on_heartbeat: Callable[[peer_pb2.Heartbeat], None],
 ) -> None:
-    """Sends and receives on a stream until it ends or falls silent.
+    """Exchanges heartbeats on a stream until it ends or times out.
 
     Args:
       stream: The stream.
-      courier: Writes and reads heartbeats.
-      pause: Returns an event that cuts the wait for the next one short.
+      courier: Builds and processes heartbeats.
+      get_urgent: Returns an event that triggers the next heartbeat early.
       interval: Seconds between two heartbeats.
-      silence: Seconds after which a silent or stalled stream is given up.
-      on_heartbeat: Called with each heartbeat once it is taken in.
+      silence: Timeout in seconds of each send and each receive.
+      on_heartbeat: Called with each received heartbeat after it is processed.
 
     Raises:
-      TimeoutError: The other end fell silent, or takes nothing.
+      TimeoutError: The other end sends no heartbeats, or receives none.
     """
-    told = Told()
+    state = StreamState()
 
     async def send() -> None:
         is_urgent = False
         while True:
-            urgent = pause()
+            urgent = get_urgent()
             async with asyncio.timeout(silence):
-                await stream.send_message(courier.write(told, is_urgent))
+                await stream.send_message(courier.write(state, is_urgent))
             await wait_with_timeout(urgent, interval)
             is_urgent = urgent.is_set()
 
     sending = asyncio.create_task(send())
     receiving = asyncio.create_task(
-        _receive(stream, courier, told, silence, on_heartbeat)
+        _receive(stream, courier, state, silence, on_heartbeat)
     )
     both = (sending, receiving)
     try:
@@ -322,16 +339,16 @@
     finally:
         for task in both:
             task.cancel()
-        ends = await asyncio.gather(*both, return_exceptions=True)
-    for end in ends:
-        if isinstance(end, Exception):
-            raise end
+        results = await asyncio.gather(*both, return_exceptions=True)
+    for result in results:
+        if isinstance(result, Exception):
+            raise result
 
 
 async def _receive(
     stream: HeartbeatStream,
     courier: Courier,
-    told: Told,
+    state: StreamState,
     silence: float,
     on_heartbeat: Callable[[peer_pb2.Heartbeat], None],
 ) -> None:
@@ -340,5 +357,5 @@
             message = await stream.recv_message()
         if message is None:
             return
-        courier.read(message, told)
+        courier.read(message, state)
         on_heartbeat(message)
--- a/lentilmount/daemon/housekeeping.py
+++ b/lentilmount/daemon/housekeeping.py
@@ -1,4 +1,4 @@
-"""Deletes rows of answers to commands when no retry can need them."""
+"""Deletes stored answers to commands once no retry can need them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 log = logbook.Logger('housekeeping')
 
 RETENTION_SECONDS = 24 * 3600.0
-"""Far longer than any operator's tool retries a command."""
+"""Age after which an answer is deleted; far longer than any tool retries."""
 
-ROUND_SECONDS = 1800.0
-FIRST_ROUND_SECONDS = 60.0
-PAGE = 200
+PRUNE_INTERVAL_SECONDS = 1800.0
+FIRST_PRUNE_SECONDS = 60.0
+PAGE_ROWS = 200
 PAGE_PAUSE_SECONDS = 0.5
-"""Between two pages, so that the table's callers do not notice."""
+"""Pause between two pages, to limit the load on the table."""
 
 JITTER = (0.5, 1.5)
 
@@ -37,54 +37,54 @@
 async def prune_requests(
     table: Table, now: float, pause: float = PAGE_PAUSE_SECONDS
 ) -> int:
-    """Deletes the answers that are older than the retention.
+    """Deletes the answers that are older than `RETENTION_SECONDS`.
 
     Args:
       table: The table.
       now: Wall time, in seconds since the epoch.
-      pause: Seconds between two pages.
+      pause: Pause between two pages, in seconds.
 
     Returns:
-      How many were deleted.
+      The number of answers deleted.
 
     Raises:
-      UnavailableError: The table does not answer; what is left stays for the
-        next round.
+      UnavailableError: The table does not answer; the remaining answers are
+        left for the next run.
     """
     count, after = 0, ''
     while True:
-        rows = await table.scan(REQUESTS, after, PAGE)
-        old: list[Operation] = [
+        rows = await table.scan(REQUESTS, after, PAGE_ROWS)
+        expired: list[Operation] = [
             Delete(row.key, row.version)
             for row in rows
             if now - row.body.get('at', 0.0) > RETENTION_SECONDS
         ]
-        for start in range(0, len(old), MAX_OPERATIONS):
-            some = old[start : start + MAX_OPERATIONS]
+        for start in range(0, len(expired), MAX_OPERATIONS):
+            chunk = expired[start : start + MAX_OPERATIONS]
             try:
-                await table.transact(make_token(), some)
+                await table.transact(make_token(), chunk)
             except ConflictError:
-                # Another daemon deletes the same rows; no need for both.
+                # Another daemon is deleting the same rows, so this one stops.
                 return count
-            count += len(some)
-        if len(rows) < PAGE:
+            count += len(chunk)
+        if len(rows) < PAGE_ROWS:
             return count
         after = rows[-1].key.sort
         await asyncio.sleep(pause)
 
 
 async def run_housekeeping(table: Table, is_chosen: Callable[[], bool]) -> None:
-    """Prunes now and then until cancelled.
+    """Prunes periodically until cancelled.
 
     Args:
       table: The table.
-      is_chosen: Whether this daemon is the one to do it; two that both do it
-        only waste reads.
+      is_chosen: Returns whether this daemon is the one to prune. If two do,
+        they only waste reads.
     """
-    wait = FIRST_ROUND_SECONDS
+    wait = FIRST_PRUNE_SECONDS
     while True:
         await asyncio.sleep(wait * random.uniform(*JITTER))
-        wait = ROUND_SECONDS
+        wait = PRUNE_INTERVAL_SECONDS
         if not is_chosen():
             continue
         try:
@@ -92,4 +92,4 @@
         except UnavailableError:
             continue
         if count:
-            log.info('{} old answers to commands are deleted.', count)
+            log.info('{} expired answers to commands are deleted.', count)
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""The daemon from start to end; an exit stack owns all that must close."""
+"""Starts and stops the daemon; an exit stack closes its resources."""
 
 from __future__ import annotations
 
@@ -19,12 +19,16 @@
 from lentilmount.configuration import Configuration
 from lentilmount.daemon.api import Api
 from lentilmount.daemon.callers import make_callers_app
-from lentilmount.daemon.control import Base, Control, make_membership
+from lentilmount.daemon.control import (
+    Control,
+    ControlDependencies,
+    make_membership,
+)
 from lentilmount.daemon.draining import Drain
 from lentilmount.daemon.listeners import bind, name_address, serve
 from lentilmount.daemon.metrics import (
     AnswerCounter,
-    gauge_tasks,
+    list_task_gauges,
     make_metrics_app,
 )
 from lentilmount.daemon.operators import make_operators_app
@@ -45,19 +49,20 @@
 
 log = logbook.Logger('daemon')
 
-REACH_SECONDS = 2.0
+REVISION_WAIT_SECONDS = 2.0
+"""Timeout for an accepted revision to come into force on this daemon."""
 QUIET_SECONDS = 0.5
-"""A stop ends when no request came for this long after the drain time."""
+"""After the drain time, a stop ends once no request arrived for this long."""
 
 
 class Daemon:
-    """One `lentilmountd`.
+    """One `lentilmountd` process: its listeners and background tasks.
 
     Attributes:
-      addresses: Where it listens, by listener.
-      apps: The HTTP applications, by listener.
+      addresses: Bound address of each listener, by its name.
+      apps: HTTP application of each listener, by its name.
       stopping: Whether a planned stop has begun.
-      failed: Set when a part of the daemon died.
+      failed: Set when a background task ended with an exception.
     """
 
     def __init__(self, settings: Settings):
@@ -90,7 +95,7 @@
         self._drain = Drain(clock.monotonic)
         self.metrics = Metrics(self._read_gauges)
         self._control = Control(
-            Base(
+            ControlDependencies(
                 settings,
                 clock,
                 self.table,
@@ -107,7 +112,7 @@
         self.manager = self._control.manager
 
     async def __aenter__(self) -> Daemon:
-        """Starts every listener and every task."""
+        """Starts all listeners and background tasks."""
         async with contextlib.AsyncExitStack() as stack:
             for part in (
                 self.table,
@@ -118,9 +123,9 @@
             ):
                 stack.callback(part.close)
             await self._listen(stack)
-            for work in self._control.list_work():
+            for work in self._control.list_background_coroutines():
                 task = asyncio.create_task(work)
-                task.add_done_callback(self._note_end)
+                task.add_done_callback(self._handle_task_end)
                 stack.push_async_callback(_cancel, task)
             self._stack = stack.pop_all()
         self.events.record('daemon', EventKind.STARTED)
@@ -128,17 +133,17 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Closes everything."""
+        """Cancels the background tasks and closes listeners and clients."""
         await self._stack.aclose()
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
-        # A part that died would leave a daemon that looks alive and does half
-        # of its work; the platform restarts one that ends.
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
+        # With a failed task the daemon would stay ready and do only part of its
+        # work. Ending the process makes the platform restart it.
         error = None if task.cancelled() else task.exception()
         if error is None:
             return
         log.error(
-            'A part of the daemon failed.',
+            'A background task of the daemon failed.',
             exc_info=(type(error), error, error.__traceback__),
         )
         self.failed.set()
@@ -185,7 +190,7 @@
             self.apps[name] = app
             tls = self.security.servers[name]
             limits = self.settings.limits
-            is_awaited = name == 'callers'
+            delays_stop = name == 'callers'
             serve(
                 stack,
                 app,
@@ -194,7 +199,7 @@
                 tls,
                 on_answer,
                 self._drain,
-                is_awaited=is_awaited,
+                delays_stop=delays_stop,
             )
 
     def _make_api(self) -> Api:
@@ -211,7 +216,7 @@
             events=self.events,
             status=self,
             zones=self.settings.zones,
-            most_watches=self.settings.limits.watches,
+            max_watches=self.settings.limits.watches,
         )
 
     def _read_gauges(self) -> list[Gauged]:
@@ -227,7 +232,9 @@
         }
         return [
             *(Gauged(f'lentilmount_{n}', float(v)) for n, v in values.items()),
-            *gauge_tasks(t for o in owners for t in o.ledger.tasks.values()),
+            *list_task_gauges(
+                t for o in owners for t in o.ledger.tasks.values()
+            ),
         ]
 
     async def announce(self, submitted: Submitted) -> None:
@@ -238,7 +245,7 @@
         """See `StatusSource`."""
         self.configuration.note(revision)
         self._control.follower.wake()
-        await self.configuration.reach(revision, REACH_SECONDS)
+        await self.configuration.reach(revision, REVISION_WAIT_SECONDS)
 
     def describe(self) -> dict[str, Any]:
         """See `StatusSource`."""
@@ -269,17 +276,18 @@
         return ''
 
     def set_time(self, name: str, seconds: float) -> None:
-        """Changes one of the times that are read whenever they are needed."""
+        """Changes one of the durations that may change without a restart."""
         times = attrs.evolve(self.settings.times, **{name: seconds})
         self.settings = attrs.evolve(self.settings, times=times)
         self._control.host_list_seconds = times.host_list
 
     async def stop(self) -> None:
-        """Shuts down so that no request in flight is cut off.
+        """Shuts down gracefully, without aborting requests in flight.
 
-        The balancer goes on sending for a while after the daemon says that
-        it is not ready, so the daemon goes on serving for as long, and then
-        until no more requests come. Slices go to others meanwhile.
+        The load balancer keeps sending requests for a while after the
+        daemon reports that it is not ready. The daemon serves them for the
+        drain time, and then until no more requests arrive. Meanwhile other
+        daemons take over its slices.
         """
         self.stopping = True
         self._drain.refuse_keep_alive()
@@ -290,10 +298,10 @@
             async with asyncio.timeout(self.settings.times.stop_limit):
                 await asyncio.sleep(self.settings.times.drain)
                 await self._control.wait_released()
-                await self._drain.wait_quiet(QUIET_SECONDS)
+                await self._drain.wait_idle(QUIET_SECONDS)
         except TimeoutError:
             log.warning(
-                'The stop limit is over; {} requests are cut off.',
+                'The stop limit has expired; {} requests are aborted.',
                 self._drain.in_flight,
             )
 
@@ -304,5 +312,5 @@
 
 
 def print_addresses(daemon: Daemon) -> None:
-    """Prints where the daemon listens, as one line of JSON."""
+    """Prints the address of each listener, as one line of JSON."""
     print(json.dumps(daemon.addresses), flush=True)
--- a/lentilmount/daemon/listeners.py
+++ b/lentilmount/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners: addresses, TLS, and what one client may take."""
+"""HTTP listeners: addresses, TLS, and limits on clients."""
 
 from __future__ import annotations
 
@@ -24,24 +24,27 @@
 KIB = 1024
 
 LIBRARY_BODY_LIMIT = 2**40
-"""Beyond what the library refuses by itself; `web.Handler` refuses earlier."""
+"""Disables tornado's own limit on bodies; `web.Handler` applies a lower one."""
 
 OnAnswer = Callable[[RequestHandler], None]
 
 
 class LimitedServer(HTTPServer):
-    """An HTTP server that takes a bounded number of connections.
+    """An HTTP server with a bounded number of connections.
 
     Attributes:
-      most: Most connections at once.
+      most: Maximum number of open connections.
     """
 
-    most = 0
+    max_connections = 0
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serves a connection, or closes it where there are too many."""
-        if len(self._connections) >= self.most:
-            log.warning('A connection of {} is one too many.', address[0])
+        """Serves a connection, or closes it at the connection limit."""
+        if len(self._connections) >= self.max_connections:
+            log.warning(
+                'A connection from {} exceeds the limit and is closed.',
+                address[0],
+            )
             stream.close()
             return
         super().handle_stream(stream, address)
@@ -51,7 +54,7 @@
     """Binds a listener's address.
 
     Raises:
-      SettingsError: The address is taken or is not of this host.
+      SettingsError: The address is in use or does not belong to this host.
     """
     host, _, port = address.rpartition(':')
     try:
@@ -67,7 +70,7 @@
 
 
 def name_address(bound: socket.socket) -> str:
-    """Returns the address of a bound socket."""
+    """Returns the address of a bound socket, as host:port."""
     host, port = bound.getsockname()[:2]
     return f'[{host}]:{port}' if ':' in host else f'{host}:{port}'
 
@@ -81,34 +84,34 @@
     on_answer: OnAnswer,
     drain: Drain,
     *,
-    is_awaited: bool = True,
+    delays_stop: bool = True,
 ) -> None:
     """Serves an application until the stack closes.
 
     Args:
-      stack: What closes the server.
-      app: What answers.
-      bound: Where to listen.
-      limits: What one client may take.
-      tls: How connections are secured, or None.
-      on_answer: Called after each answer.
-      drain: Counts the requests under way.
-      is_awaited: Whether a stop waits until no more requests come.
+      stack: Closes the server when it closes.
+      app: The application.
+      bound: The bound socket to listen on.
+      limits: Limits on connections, headers, bodies and idle time.
+      tls: TLS context of the connections, or None.
+      on_answer: Called with the handler after each answer.
+      drain: Counts the requests in flight.
+      delays_stop: Whether a stop waits until no more requests arrive.
     """
     app.settings[BODY_LIMITS] = BodyLimits(
         limits.body_kb * KIB, limits.buffered_kb * KIB
     )
     app.settings['log_function'] = on_answer
     server = LimitedServer(
-        drain.wrap(app, is_awaited),
+        drain.wrap(app, delays_stop),
         ssl_options=tls,
         max_header_size=limits.header_kb * KIB,
         max_body_size=LIBRARY_BODY_LIMIT,
         idle_connection_timeout=limits.idle_seconds,
         body_timeout=limits.body_seconds,
     )
-    server.most = limits.connections
-    drain.watch(server)
+    server.max_connections = limits.connections
+    drain.add_server(server)
     server.add_socket(bound)
     stack.push_async_callback(server.close_all_connections)
     stack.callback(server.stop)
--- a/lentilmount/daemon/metrics.py
+++ b/lentilmount/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""The listener of metrics."""
+"""Serves metrics, and counts the answers of the other listeners."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class MetricsHandler(Handler):
-    """Answers a scrape."""
+    """Answers scrapes of the metrics."""
 
     def initialize(self, gate: Gate, metrics: Metrics) -> None:  # type: ignore[override]
-        """Keeps the metrics."""
+        """Sets the metrics."""
         super().initialize(gate)
         self.metrics = metrics
 
     def get(self) -> None:
-        """Answers with the series that the token may see."""
+        """Answers with the series that the token may read."""
         grant = self.admit()
         grant.require(Verb.READ, grant.team)
         accepts = self.request.headers.get_list('Accept')
@@ -47,18 +47,18 @@
     )
 
 
-NOTABLE_PER_SECOND = 5
-"""Most answers a second that the time line tells. A wave of refusals would
-otherwise push everything else out of the ring."""
+MAX_EVENTS_PER_SECOND = 5
+"""Maximum number of answers per second that are recorded as events. A burst of
+refusals would otherwise displace all other events from the ring buffer."""
 
 
 class AnswerCounter:
-    """Counts answers of the listeners, and notes those that went wrong.
+    """Counts answers, and records failed and slow ones as events.
 
     Args:
-      metrics: What counts.
-      configuration: What tells which services there are.
-      events: The time line.
+      metrics: The metrics to update.
+      configuration: The configuration, which declares the services.
+      events: Log of this daemon's events.
     """
 
     def __init__(
@@ -67,14 +67,14 @@
         self._metrics = metrics
         self._configuration = configuration
         self._events = events
-        self._second = 0
-        self._noted = 0
+        self._current_second = 0
+        self._recorded = 0
 
     def count_call(self, handler: RequestHandler) -> None:
         """Counts the answer to an interactive request.
 
-        Only declared services get series of their own: any path can be
-        asked for, and each would stay in memory for good.
+        Only declared services get a series of their own. Callers can request
+        any path, and a series for each would stay in memory.
         """
         team, service, target_ms = '', '', float('inf')
         if isinstance(handler, CallHandler) and len(handler.path_args) > 1:
@@ -86,16 +86,16 @@
         seconds = handler.request.request_time()
         self._metrics.observe_call(team, service, status, seconds)
         if service and (status >= 429 or seconds * 1000 > target_ms):
-            self._note(handler, f'Service/{team}/{service}', seconds)
+            self._record_event(handler, f'Service/{team}/{service}', seconds)
 
-    def _note(
+    def _record_event(
         self, handler: RequestHandler, service: str, seconds: float
     ) -> None:
         second = int(time.monotonic())
-        if second != self._second:
-            self._second, self._noted = second, 0
-        self._noted += 1
-        if self._noted > NOTABLE_PER_SECOND:
+        if second != self._current_second:
+            self._current_second, self._recorded = second, 0
+        self._recorded += 1
+        if self._recorded > MAX_EVENTS_PER_SECOND:
             return
         self._events.record(
             'callers',
@@ -111,8 +111,8 @@
         self._metrics.observe_command(handler.get_status())
 
 
-def gauge_tasks(tasks: Iterable[Task]) -> Iterator[Gauged]:
-    """Yields how many tasks each team has in each phase."""
+def list_task_gauges(tasks: Iterable[Task]) -> Iterator[Gauged]:
+    """Yields the number of tasks of each team in each phase."""
     counts = collections.Counter((t.team, t.phase.value) for t in tasks)
     for (team, phase), count in counts.items():
         labels = {TEAM_LABEL: team, 'phase': phase}
--- a/lentilmount/daemon/operators.py
+++ b/lentilmount/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The listener of operators: the resource API."""
+"""Handlers of the resource API, which operators call."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     find_kind,
     list_visible,
 )
-from lentilmount.daemon.streams import Seats, TimeLineHandler, WatchHandler
+from lentilmount.daemon.streams import TimeLineHandler, WatchHandler, WatchLimit
 from lentilmount.daemon.web import NoRouteHandler
 from lentilmount.errors import (
     ErrorKind,
@@ -41,14 +41,14 @@
 MAX_REVISION = 2**53
 
 NO_TEAM = '-'
-"""Stands in a route for the team of what belongs to the platform."""
+"""Team in the route of a resource that belongs to the platform."""
 
 _PUBLIC_STATUS = ('daemon', 'zone', 'revision', 'ready', 'fault')
-"""What a token of one team is told of a daemon."""
+"""Fields of a daemon's state that a token of a single team may read."""
 
 
 class ResourcesHandler(ApiHandler):
-    """Lists and applies."""
+    """Lists and applies resources of a kind."""
 
     async def get(self, kind_name: str) -> None:
         """Answers with a page of resources."""
@@ -57,8 +57,8 @@
         team = self.read_team(grant)
         if kind in (Kind.WORKER, Kind.CONFIGURATION):
             grant.require(Verb.READ, '')
-        # Taken before the read: a watch from it may tell again what the list
-        # holds already, but misses nothing.
+        # Made before the read: a watch from this cursor may repeat changes
+        # that the page contains, but misses none.
         cursor = self.api.watcher.make_cursor()
         page = await self.api.reader.list_page(
             ListFilter(
@@ -100,8 +100,9 @@
         verb = Verb.ADMIN if kind in PLATFORM_KINDS else Verb.WRITE
         grant.require(verb, resource.metadata.team)
         if kind in (Kind.WORKER, Kind.UPSTREAM):
-            # A mistyped name would be accepted, and what was meant would go on
-            # getting work.
+            # The resource must exist: otherwise a mistyped name would be
+            # accepted, and the intended worker or upstream would still
+            # receive work.
             metadata = resource.metadata
             await self.api.reader.get(kind, metadata.team, metadata.name)
         if self.get_query_argument('dry_run', ''):
@@ -112,10 +113,10 @@
             await self._apply(grant, resource)
 
     async def _preview(self, resource: Resource) -> None:
-        desk = (
+        preview_source = (
             self.api.jobs if resource.kind is Kind.JOB else self.api.configurer
         )
-        current = await desk.preview(resource)
+        current = await preview_source.preview(resource)
         changes = list_changes(current, resource)
         self.reply(
             {
@@ -152,10 +153,10 @@
 
 
 def make_command_id(handler: ApiHandler, grant: Grant) -> str:
-    """Names a command, so that sending it again changes nothing more.
+    """Returns the id under which a command is idempotent.
 
-    The id that the caller chose is not enough: another caller could send the
-    same one and would be answered with the first one's resource.
+    The request id chosen by the caller is not enough: another caller that
+    sends the same one would be answered with the first caller's resource.
     """
     digest = hashlib.sha256()
     for part in (grant.name, grant.team, handler.request.method or ''):
@@ -219,43 +220,43 @@
 
 
 class StatusHandler(ApiHandler):
-    """Tells how the daemon is."""
+    """Reports the daemon's state."""
 
     def get(self) -> None:
         """Answers with the daemon's state."""
         grant = self.admit()
         grant.require(Verb.READ, grant.team)
-        self.reply(_show_status(grant, self.api.status.describe()))
+        self.reply(_filter_status(grant, self.api.status.describe()))
 
 
 class DaemonsHandler(ApiHandler):
-    """Tells how every daemon is."""
+    """Reports the state of all daemons."""
 
     async def get(self) -> None:
-        """Answers with the state of all daemons, and who did not answer."""
+        """Answers with all states, and the daemons that did not answer."""
         grant = self.admit()
         grant.require(Verb.READ, grant.team)
         others = await self.api.survey.describe_all()
-        found = [own for own in others.values() if own is not None]
+        found = [state for state in others.values() if state is not None]
         found.append(self.api.status.describe())
         found.sort(key=lambda daemon: str(daemon['daemon']))
-        unreachable = [name for name, own in others.items() if own is None]
+        unreachable = [name for name, state in others.items() if state is None]
         self.reply(
             {
-                'daemons': [_show_status(grant, daemon) for daemon in found],
+                'daemons': [_filter_status(grant, daemon) for daemon in found],
                 'unreachable': sorted(unreachable),
             }
         )
 
 
-def _show_status(grant: Grant, daemon: dict[str, Any]) -> dict[str, Any]:
+def _filter_status(grant: Grant, daemon: dict[str, Any]) -> dict[str, Any]:
     if grant.sees_platform:
         return daemon
     return {name: daemon[name] for name in _PUBLIC_STATUS}
 
 
 class HealthHandler(ApiHandler):
-    """Tells that the process lives."""
+    """Liveness check: reports that the process runs."""
 
     is_open = True
 
@@ -265,12 +266,12 @@
 
 
 class ReadyHandler(ApiHandler):
-    """Tells whether the balancer may send requests here."""
+    """Readiness check: reports whether to send requests to this daemon."""
 
     is_open = True
 
     def get(self) -> None:
-        """Answers ok or why not."""
+        """Answers ready, or with the reason why the daemon is not."""
         fault = self.api.status.find_fault()
         if fault:
             raise LentilmountError(
@@ -296,7 +297,7 @@
 def make_operators_app(api: Api) -> Application:
     """Builds the resource API's HTTP application."""
     parts: dict[str, Any] = {'api': api}
-    streams = {**parts, 'seats': Seats(api.most_watches)}
+    streams = {**parts, 'seats': WatchLimit(api.max_watches)}
     return Application(
         [
             ('/healthz', HealthHandler, parts),
--- a/lentilmount/daemon/peers.py
+++ b/lentilmount/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Peers: one stream of heartbeats with each partner, and the API for them."""
+"""Exchanges heartbeats with peers, and serves the gRPC API for them."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 log = logbook.Logger('peers')
 
 CALL_SECONDS = 1.0
-LONGEST_PAUSE_SECONDS = 5.0
-"""Most seconds, before jitter, between two tries to reach an address."""
+MAX_RETRY_PAUSE_SECONDS = 5.0
+"""Maximum pause, before jitter, between two attempts to reach an address."""
 
-SOONEST_PUSH_SECONDS = 0.02
-"""News that comes faster than this goes out together."""
+MIN_PUSH_INTERVAL_SECONDS = 0.02
+"""Changes that follow each other faster are sent in one heartbeat."""
 
-PeerFailure = (
+PEER_ERRORS = (
     GRPCError,
     ProtocolError,
     StreamTerminatedError,
@@ -46,37 +46,38 @@
 
 @attrs.frozen
 class PeerOptions:
-    """How a daemon talks to its peers.
+    """Options of a daemon's exchange with its peers.
 
     Attributes:
-      seeds: Addresses to begin with.
-      heartbeat_seconds: Between two heartbeats on a stream.
-      silence_seconds: After which a silent stream is given up.
-      links: How many streams join two zones.
+      seeds: Addresses of peers to contact first.
+      heartbeat_seconds: Period of the heartbeats on a stream.
+      silence_seconds: Timeout after which a stream without heartbeats is
+        closed.
+      streams_between_zones: Number of streams between each two zones.
     """
 
     seeds: tuple[str, ...] = ()
     heartbeat_seconds: float = 0.5
     silence_seconds: float = 2.0
-    links: int = 2
+    streams_between_zones: int = 2
 
 
 class Peers:
-    """Exchanges heartbeats with partners.
+    """Exchanges heartbeats with the peers that the membership chooses.
 
-    Of two partners the one whose name sorts first dials. The other dials
-    only where no stream came in for a while, so that a network that lets
-    connections through one way only still joins them.
+    Of two peers the one whose name sorts first dials. The other dials only
+    after it received no stream for `silence_seconds`, so that the two connect
+    even if the network allows connections in one direction only.
 
     Args:
-      membership: Who is there.
-      events: The time line.
-      options: How to talk.
-      get_news: Returns what this daemon tells.
-      take_news: Takes what a peer told.
-      monotonic: The clock for durations.
-      tls: How calls to peers are secured, or None.
-      gossip: What heartbeats carry of the entry path.
+      membership: The known daemons and whether they are up.
+      events: Log of this daemon's events.
+      options: Addresses, periods and timeouts.
+      get_report: Returns the versions that this daemon reports.
+      handle_report: Handles the versions that a peer reports.
+      monotonic: Clock for durations, in seconds.
+      tls: TLS context of connections to peers, or None.
+      gossip: Writes and reads the routing's part of a heartbeat, if given.
     """
 
     def __init__(
@@ -84,8 +85,8 @@
         membership: Membership,
         events: EventLog,
         options: PeerOptions,
-        get_news: Callable[[], News],
-        take_news: Callable[[News], None],
+        get_report: Callable[[], News],
+        handle_report: Callable[[News], None],
         monotonic: Callable[[], float],
         tls: ssl.SSLContext | None = None,
         gossip: Gossip | None = None,
@@ -94,87 +95,91 @@
         self._events = events
         self._options = options
         self._courier = Courier(
-            membership, events.hybrid, get_news, take_news, gossip
+            membership, events.hybrid, get_report, handle_report, gossip
         )
         self._monotonic = monotonic
         self._tls = tls
         self._urgent = asyncio.Event()
-        self._pushed_at = float('-inf')
+        self._push_due_at = float('-inf')
         self._channels: dict[str, Channel] = {}
         self._incoming: collections.Counter[str] = collections.Counter()
-        self._missing_since: dict[str, float] = {}
-        self._up: dict[str, bool] = {}
+        self._no_stream_since: dict[str, float] = {}
+        self._was_up: dict[str, bool] = {}
 
     async def run(self) -> None:
-        """Keeps one task for each address to dial until cancelled."""
+        """Runs one task for each address to dial, until cancelled."""
         interval = self._options.heartbeat_seconds
         async with asyncio.TaskGroup() as group:
             dialling: dict[str, asyncio.Task[None]] = {}
             while True:
                 self._membership.advance_beat()
-                wanted = self._list_wanted()
+                wanted = self._list_addresses_to_dial()
                 for address in wanted - dialling.keys():
                     dialling[address] = group.create_task(self._dial(address))
                 for address in dialling.keys() - wanted:
                     dialling.pop(address).cancel()
                 self._membership.forget()
-                self._note_changes()
+                self._record_peer_states()
                 began = self._monotonic()
                 await asyncio.sleep(interval)
-                self._note_pause(self._monotonic() - began - interval)
+                self._handle_event_loop_pause(
+                    self._monotonic() - began - interval
+                )
 
-    def _note_pause(self, seconds: float) -> None:
+    def _handle_event_loop_pause(self, seconds: float) -> None:
         if seconds > self._options.heartbeat_seconds:
-            log.warning('This daemon stood still for {:.1f} s.', seconds)
+            log.warning('This daemon was paused for {:.1f} s.', seconds)
             self._membership.compensate_pause(seconds)
 
-    def _list_wanted(self) -> set[str]:
-        partners = choose_peers(self._membership, self._options.links)
-        wanted = {m.address for m in partners if self._is_caller(m)}
+    def _list_addresses_to_dial(self) -> set[str]:
+        peers = choose_peers(
+            self._membership, self._options.streams_between_zones
+        )
+        wanted = {m.address for m in peers if self._should_dial(m)}
         known = self._membership.list_known()
         up = {m.address for m in known if self._membership.is_up(m.name)}
-        # A seed is dialled for as long as nobody up is known to be there:
-        # after a cut in which all daemons were replaced, and with the table
-        # down, seeds are the only way back.
+        # A seed is dialled while no member known to be up has its address.
+        # When all daemons were replaced during a network partition, and the
+        # table is down, seeds are the only way to find each other again.
         wanted |= set(self._options.seeds) - up
         return wanted - {self._membership.local_member.address, ''}
 
-    def _is_caller(self, member: Member) -> bool:
+    def _should_dial(self, member: Member) -> bool:
         if self._membership.local_member.name < member.name:
             return True
         if self._incoming[member.name]:
-            self._missing_since.pop(member.name, None)
+            self._no_stream_since.pop(member.name, None)
             return False
         now = self._monotonic()
-        since = self._missing_since.setdefault(member.name, now)
+        since = self._no_stream_since.setdefault(member.name, now)
         return now - since > self._options.silence_seconds
 
-    def _note_changes(self) -> None:
+    def _record_peer_states(self) -> None:
         known = {member.name for member in self._membership.list_known()}
-        for name in known | self._up.keys():
+        for name in known | self._was_up.keys():
             up = name in known and self._membership.is_up(name)
-            if up == self._up.get(name, False):
+            if up == self._was_up.get(name, False):
                 continue
-            self._up[name] = up
+            self._was_up[name] = up
             kind = EventKind.PEER_UP if up else EventKind.PEER_DOWN
             self._events.record('peers', kind, cause=name)
             log.info('Peer {} is {}.', name, 'up' if up else 'down')
-        for name in self._up.keys() - known:
-            del self._up[name]
-            self._missing_since.pop(name, None)
+        for name in self._was_up.keys() - known:
+            del self._was_up[name]
+            self._no_stream_since.pop(name, None)
 
     async def _dial(self, address: str) -> None:
         pause = self._options.heartbeat_seconds
         while True:
             began = self._monotonic()
-            with contextlib.suppress(*PeerFailure):
+            with contextlib.suppress(*PEER_ERRORS):
                 await self._call(address)
             lasted = self._monotonic() - began
             if lasted > 2 * self._options.silence_seconds:
                 pause = self._options.heartbeat_seconds
-            # Jitter, as all peers of a daemon lose it at the same moment.
+            # Jitter: all peers of a daemon lose their streams at once.
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            pause = min(2 * pause, MAX_RETRY_PAUSE_SECONDS)
 
     async def _call(self, address: str) -> None:
         channel = self._make_channel(address)
@@ -183,11 +188,11 @@
             async with stub.Exchange.open() as stream:
                 async with asyncio.timeout(self._options.silence_seconds):
                     await stream.send_request()
-                await self._converse(stream)
+                await self._exchange_heartbeats(stream)
         finally:
             channel.close()
 
-    async def _converse(
+    async def _exchange_heartbeats(
         self,
         stream: object,
         on_heartbeat: Callable[[peer_pb2.Heartbeat], None] = lambda _: None,
@@ -201,8 +206,8 @@
             on_heartbeat,
         )
 
-    async def take_stream(self, stream: object) -> None:
-        """Holds a stream that a peer opened, until it ends."""
+    async def serve_stream(self, stream: object) -> None:
+        """Exchanges heartbeats on a stream opened by a peer, until it ends."""
         names: set[str] = set()
 
         def count(message: peer_pb2.Heartbeat) -> None:
@@ -211,21 +216,21 @@
                 self._incoming[message.sender.name] += 1
 
         try:
-            with contextlib.suppress(*PeerFailure):
-                await self._converse(stream, count)
+            with contextlib.suppress(*PEER_ERRORS):
+                await self._exchange_heartbeats(stream, count)
         finally:
             self._incoming.subtract(names)
 
     def push(self) -> None:
-        """Sends a heartbeat on every stream soon, for news that is urgent."""
+        """Schedules an early heartbeat on every stream, for urgent changes."""
         now = self._monotonic()
-        wait = max(0.0, self._pushed_at + SOONEST_PUSH_SECONDS - now)
-        if wait > SOONEST_PUSH_SECONDS:
+        wait = max(0.0, self._push_due_at + MIN_PUSH_INTERVAL_SECONDS - now)
+        if wait > MIN_PUSH_INTERVAL_SECONDS:
             return
-        self._pushed_at = now + wait
-        asyncio.get_running_loop().call_later(wait, self._push)
+        self._push_due_at = now + wait
+        asyncio.get_running_loop().call_later(wait, self._send_heartbeats_now)
 
-    def _push(self) -> None:
+    def _send_heartbeats_now(self) -> None:
         urgent, self._urgent = self._urgent, asyncio.Event()
         self._membership.advance_beat()
         urgent.set()
@@ -235,17 +240,20 @@
         return Channel(host.strip('[]'), int(port), ssl=self._tls)
 
     def list_others(self) -> list[Member]:
-        """Returns every other daemon that was not stopped as planned."""
+        """Returns all other known daemons, without those that are stopping."""
         return [m for m in self._membership.list_known() if not m.stopping]
 
     def get_stub(self, address: str) -> peer_grpc.PeerStub:
-        """Returns the stub of a daemon."""
+        """Returns the gRPC stub for a daemon's address."""
         if address not in self._channels:
             self._channels[address] = self._make_channel(address)
         return peer_grpc.PeerStub(self._channels[address])
 
     async def wake_owner(self, slice_name: str, zone: str) -> None:
-        """Tells the peers of a zone that a slice has something new."""
+        """Notifies the peers of a zone of a new entry in a slice's inbox.
+
+        If none of that zone is active, all active peers are notified.
+        """
         members = self._membership.list_active(zone)
         names = {self._membership.local_member.name}
         calls = [
@@ -256,7 +264,7 @@
         await asyncio.gather(*calls)
 
     async def _wake(self, address: str, slice_name: str) -> None:
-        with contextlib.suppress(*PeerFailure):
+        with contextlib.suppress(*PEER_ERRORS):
             await self.get_stub(address).Wake(
                 peer_pb2.Nudge(slice=slice_name), timeout=CALL_SECONDS
             )
@@ -264,9 +272,9 @@
     async def fetch_changes(
         self, address: str, log_name: str, after: int
     ) -> peer_pb2.ChangesReply | None:
-        """Asks a peer for changes; None where it does not answer."""
+        """Fetches changes from a peer; returns None if the call fails."""
         request = peer_pb2.ChangesRequest(log=log_name, after=after)
-        with contextlib.suppress(*PeerFailure):
+        with contextlib.suppress(*PEER_ERRORS):
             reply: peer_pb2.ChangesReply = await self.get_stub(
                 address
             ).ListChanges(request, timeout=CALL_SECONDS)
@@ -274,20 +282,20 @@
         return None
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes the connections of unary calls."""
         for channel in self._channels.values():
             channel.close()
 
 
 class PeerService(peer_grpc.PeerBase):
-    """What peers call.
+    """gRPC service that peers call.
 
     Args:
-      peers: Takes the streams of heartbeats.
-      events: The time line.
-      wake_slice: Called when a slice has something new.
-      list_changes: Answers peers that ask for changes.
-      describe: Returns this daemon's state in plain values.
+      peers: Serves the streams of heartbeats.
+      events: Log of this daemon's events.
+      wake_slice: Called with the name of a slice whose inbox has a new entry.
+      list_changes: Returns the changes that a peer requests.
+      describe: Returns this daemon's state as values that JSON can hold.
     """
 
     def __init__(
@@ -310,12 +318,12 @@
         self, stream: Stream[peer_pb2.Heartbeat, peer_pb2.Heartbeat]
     ) -> None:
         """Exchanges heartbeats until the stream ends."""
-        await self._peers.take_stream(stream)
+        await self._peers.serve_stream(stream)
 
     async def Wake(  # noqa: N802
         self, stream: Stream[peer_pb2.Nudge, peer_pb2.Empty]
     ) -> None:
-        """Looks at a slice's inbox."""
+        """Makes the owner of a slice read its inbox now."""
         message = await stream.recv_message()
         if message is not None:
             self._wake_slice(message.slice)
@@ -325,7 +333,7 @@
         self,
         stream: Stream[peer_pb2.ChangesRequest, peer_pb2.ChangesReply],
     ) -> None:
-        """Answers with changes of the configuration or of a slice."""
+        """Returns changes of the configuration or of a slice."""
         message = await stream.recv_message()
         if message is not None:
             await stream.send_message(self._list_changes(message))
@@ -334,7 +342,7 @@
         self,
         stream: Stream[peer_pb2.EventsRequest, peer_pb2.EventsReply],
     ) -> None:
-        """Answers with the events of the time line."""
+        """Returns this daemon's events that match the request."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -353,7 +361,7 @@
     async def Describe(  # noqa: N802
         self, stream: Stream[peer_pb2.Empty, peer_pb2.Description]
     ) -> None:
-        """Answers with this daemon's state."""
+        """Returns this daemon's state."""
         await stream.recv_message()
         body = encode(self._describe())
         await stream.send_message(peer_pb2.Description(body=body))
--- a/lentilmount/daemon/registry.py
+++ b/lentilmount/daemon/registry.py
@@ -1,7 +1,8 @@
-"""This daemon's row among the members in the table, and the others' rows.
+"""Maintains this daemon's member row in the table, and reads those of others.
 
-The rows tell a new daemon whom to talk to. Who is up is for heartbeats to
-tell; a row only says that a daemon of that name was started last.
+A new daemon finds its peers through these rows. Whether a daemon is up is
+decided by heartbeats alone; a row only identifies the daemon that was started
+last under a name.
 """
 
 from __future__ import annotations
@@ -32,64 +33,67 @@
 MEMBERS = 'member'
 JITTER = (0.75, 1.25)
 REFRESH_ROUNDS = 3
-"""A daemon writes its row anew once in this many looks at the rows."""
+"""A daemon rewrites its row once in this many polls."""
 
 STALE_ROUNDS = 12
-"""Looks for which a row has to stand still before it is deleted."""
+"""Polls without a change of a row after which it is deleted."""
 
 
 @attrs.define
-class _Seen:
-    """How long a row has been as it is."""
+class _RowAge:
+    """Number of polls since a row last changed."""
 
     version: int
     rounds: int = 0
 
 
 class Registry:
-    """Keeps the member rows.
+    """Maintains the member rows.
 
     Args:
-      table: Where the rows are.
-      membership: Learns from the rows.
-      look_seconds: Between two looks once others are known.
-      monotonic: The clock for durations.
+      table: The table service.
+      membership: The known daemons; members found in rows are added.
+      poll_seconds: Mean period between two polls once other daemons are
+        active; until then it is at most 1 s.
+      monotonic: Clock for durations, in seconds.
 
     Attributes:
-      replaced: Whether another daemon was started under this one's name.
+      replaced: Whether another daemon was started later under the same name.
     """
 
     def __init__(
         self,
         table: Table,
         membership: Membership,
-        look_seconds: float,
+        poll_seconds: float,
         monotonic: Callable[[], float],
     ):
         self.replaced = False
         self._table = table
         self._membership = membership
-        self._look_seconds = look_seconds
+        self._poll_seconds = poll_seconds
         self._monotonic = monotonic
         self._version = ABSENT
-        self._announced = False
+        self._is_registered = False
         self._rounds = 0
-        self._seen: dict[str, _Seen] = {}
+        self._row_ages: dict[str, _RowAge] = {}
 
     async def run(self) -> None:
-        """Looks at the rows until cancelled."""
+        """Polls the rows until cancelled."""
         while True:
             try:
                 await self.look()
             except UnavailableError:
-                log.debug('The member rows cannot be read.')
+                log.debug(
+                    'The member rows cannot be read; the table does not answer.'
+                )
             others = len(self._membership.list_active()) > 1
-            pause = self._look_seconds if others else 1.0
-            pause = min(pause, self._look_seconds)
+            pause = self._poll_seconds if others else 1.0
+            pause = min(pause, self._poll_seconds)
             await asyncio.sleep(pause * random.uniform(*JITTER))
 
     async def look(self) -> None:
-        """Reads every row, keeps this daemon's, deletes those of the dead.
+        """Reads all rows, updates this daemon's, and deletes stale ones.
 
         Raises:
           UnavailableError: The table does not answer.
@@ -97,64 +101,68 @@
         rows = {
             row.key.sort: row for row in await scan_all(self._table, MEMBERS)
         }
-        await self._keep(rows.get(self._membership.local_member.name))
+        await self._update_own_row(rows.get(self._membership.local_member.name))
         self._membership.add_listed(Member(**r.body) for r in rows.values())
         self._rounds += 1
         for row in rows.values():
             await self._prune(row)
 
-    async def _keep(self, row: Row | None) -> None:
-        me = self._membership.local_member
-        if not self._announced:
-            # The last one started under a name has it: a predecessor that
-            # was only paused finds its row changed when it wakes.
+    async def _update_own_row(self, row: Row | None) -> None:
+        local = self._membership.local_member
+        if not self._is_registered:
+            # The daemon started last under a name owns it. A predecessor that
+            # was only paused finds its row changed when it resumes.
             if row is not None:
                 self._membership.raise_incarnation_above(
                     row.body['incarnation']
                 )
             await self._write(row.version if row else ABSENT)
-            self._announced = True
+            self._is_registered = True
             return
-        if row is not None and row.body['address'] == me.address:
-            # Also a write of ours whose answer was lost, or that came late.
+        if row is not None and row.body['address'] == local.address:
+            # Covers own writes whose answer was lost, or that came late.
             self._version = row.version
         elif row is not None:
             if not self.replaced:
-                log.error('Another daemon has the name {}.', me.name)
+                log.error(
+                    'Another daemon was started under the name {}; '
+                    'give each daemon its own name.',
+                    local.name,
+                )
             self.replaced = True
             return
-        rival = self._membership.name_conflict
-        if rival is not None:
-            # The row is still ours, so the rival is the older one.
-            self._membership.raise_incarnation_above(rival.incarnation)
-        if row is None or rival or self._rounds % REFRESH_ROUNDS == 0:
+        duplicate = self._membership.name_conflict
+        if duplicate is not None:
+            # The row is still this daemon's, so the duplicate started earlier.
+            self._membership.raise_incarnation_above(duplicate.incarnation)
+        if row is None or duplicate or self._rounds % REFRESH_ROUNDS == 0:
             await self._write(self._version if row else ABSENT)
 
     async def _write(self, version: int) -> None:
-        me = self._membership.local_member
-        key = Key(MEMBERS, me.name)
+        local = self._membership.local_member
+        key = Key(MEMBERS, local.name)
         try:
             await commit(
-                self._table, [Put(key, attrs.asdict(me), version)], key
+                self._table, [Put(key, attrs.asdict(local), version)], key
             )
         except ConflictError:
-            # Somebody wrote in between; the next look tells who.
+            # Another daemon wrote the row meanwhile; the next poll reads it.
             return
         self._version = version + 1
 
     async def _prune(self, row: Row) -> None:
         name = row.key.sort
-        seen = self._seen.get(name)
-        if seen is None or seen.version != row.version:
-            self._seen[name] = _Seen(row.version)
+        row_age = self._row_ages.get(name)
+        if row_age is None or row_age.version != row.version:
+            self._row_ages[name] = _RowAge(row.version)
             return
-        seen.rounds += 1
+        row_age.rounds += 1
         if name == self._membership.local_member.name or self._membership.is_up(
             name
         ):
             return
-        if seen.rounds >= STALE_ROUNDS:
-            del self._seen[name]
+        if row_age.rounds >= STALE_ROUNDS:
+            del self._row_ages[name]
             await self._delete(row)
 
     async def _delete(self, row: Row) -> None:
@@ -164,4 +172,7 @@
             )
         except ConflictError:
             return
-        log.info('The row of {} is deleted; it is gone.', row.key.sort)
+        log.info(
+            'The member row of {} is deleted; that daemon is down.',
+            row.key.sort,
+        )
--- a/lentilmount/daemon/reload.py
+++ b/lentilmount/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Taking new settings while the daemon runs."""
+"""Applies changed settings while the daemon runs."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 log = logbook.Logger('settings')
 
-LIVE_TIMES = ('drain', 'host_list', 'stop_limit')
-"""Times that are read each time they are needed."""
+RELOADABLE_TIMES = ('drain', 'host_list', 'stop_limit')
+"""Fields of the `times` settings that can change without a restart."""
 
-Change = Callable[[Settings], None]
+ApplySetting = Callable[[Settings], None]
 
 
 def list_differences(old: Settings, new: Settings) -> Iterator[str]:
-    """Yields the fields that differ; each time as a field of its own."""
+    """Yields the names of fields that differ; those of `times` one by one."""
     for field in attrs.fields(Settings):
         before, after = getattr(old, field.name), getattr(new, field.name)
         if before == after:
@@ -34,54 +34,59 @@
 
 
 class Reloader:
-    """Puts in force what may change, and tells what needs a restart.
+    """Reloads settings and reports which changes need a restart.
 
     Args:
-      read: Reads the settings again.
-      changes: What puts a field in force, by the field's name.
-      renew: Loads the certificates again, which keep their files' names.
+      settings: The settings in force.
+      read: Reads the settings file again.
+      changes: Functions that apply a changed field, by the field's name.
+      reload_certificates: Loads the certificates again, from the same files.
     """
 
     def __init__(
         self,
         settings: Settings,
         read: Callable[[], Settings],
-        changes: Mapping[str, Change],
-        renew: Callable[[], None],
+        changes: Mapping[str, ApplySetting],
+        reload_certificates: Callable[[], None],
     ):
         self.settings = settings
         self._read = read
         self._changes = changes
-        self._renew = renew
+        self._reload_certificates = reload_certificates
 
     def reload(self) -> tuple[str, ...]:
-        """Reads the settings; wrong ones change nothing.
+        """Reads the settings and applies them; invalid ones change nothing.
 
         Returns:
-          The fields that differ and need a restart.
+          The names of changed fields that need a restart.
         """
         try:
             new = self._read()
             differing = list(list_differences(self.settings, new))
-            live = [name for name in differing if name in self._changes]
-            self._renew()
-            for name in live:
+            applied = [name for name in differing if name in self._changes]
+            self._reload_certificates()
+            for name in applied:
                 self._changes[name](new)
         except LentilmountError as error:
             log.error('The settings stay as they were: {}', error.detail)
             return ()
-        late = tuple(name for name in differing if name not in live)
-        self.settings = _merge(self.settings, new, live)
-        log.info('Settings read; in force: {}.', ', '.join(live) or 'no change')
-        if late:
-            log.warning('Only a restart changes {}.', ', '.join(late))
-        return late
-
-
-def _merge(old: Settings, new: Settings, live: list[str]) -> Settings:
+        restart_needed = tuple(
+            name for name in differing if name not in applied
+        )
+        self.settings = _merge(self.settings, new, applied)
+        log.info(
+            'Settings read; in force: {}.', ', '.join(applied) or 'no change'
+        )
+        if restart_needed:
+            log.warning('Only a restart changes {}.', ', '.join(restart_needed))
+        return restart_needed
+
+
+def _merge(old: Settings, new: Settings, applied: list[str]) -> Settings:
     values: dict[str, Any] = {}
     times: dict[str, Any] = {}
-    for name in live:
+    for name in applied:
         if name.startswith('times.'):
             time = name.removeprefix('times.')
             times[time] = getattr(new.times, time)
--- a/lentilmount/daemon/security.py
+++ b/lentilmount/daemon/security.py
@@ -13,11 +13,11 @@
 
 
 class Security:
-    """How every listener, and every call to a peer, is secured.
+    """Holds the TLS contexts of listeners and of calls to peers.
 
     Attributes:
-      servers: Context of each listener, by its name; None without TLS.
-      peer_client: Context of calls to peers; None without TLS.
+      servers: TLS context of each listener, by its name; None without TLS.
+      peer_client: TLS context of calls to peers; None without TLS.
 
     Raises:
       SettingsError: A certificate, key or authority cannot be used.
@@ -35,11 +35,12 @@
         if settings.peers is not None:
             self.peer_client = make_peer_context(settings.peers, 'tls.peers')
 
-    def renew(self) -> None:
-        """Loads the certificates again, for the connections to come.
+    def reload_certificates(self) -> None:
+        """Loads the certificates again, for new connections.
 
         Raises:
-          SettingsError: A file cannot be used; the others may be renewed.
+          SettingsError: A file cannot be used; other certificates may already
+            be reloaded.
         """
         for name, context in self.servers.items():
             if context is not None:
--- a/lentilmount/daemon/slicelog.py
+++ b/lentilmount/daemon/slicelog.py
@@ -1,4 +1,7 @@
-"""Services of each slice, as the table's log or a peer told them."""
+"""Tracks the services of each slice through its change log in the table.
+
+Changes come from the table or from a peer that has read them already.
+"""
 
 from __future__ import annotations
 
@@ -20,20 +23,21 @@
 from lentilmount.routing.directory import UpstreamDirectory
 from lentilmount.wire import peer_pb2
 
-PAGE = 200
+PAGE_ROWS = 200
 RECENT_CHANGES = 200
-"""Most changes of a slice kept for peers; others get a snapshot."""
+"""Maximum number of changes of a slice kept for peers. A peer that lacks more
+receives a snapshot."""
 
 
 @attrs.define
 class SliceView:
-    """What is known of the services of one slice.
+    """The services of one slice, up to a position in its log.
 
     Attributes:
-      sequence: Up to where the slice's log is taken in.
-      newest: The newest change of a service among that.
-      base: The change after which `recent` has everything.
-      tasks: Replicas that are not over, by id.
+      sequence: Sequence number up to which the slice's log is applied.
+      newest: Sequence number of the newest applied change of a service.
+      base: Sequence number after which `recent` is complete.
+      tasks: Replicas that have not ended, by id.
       recent: Newest changes, with their sequence numbers.
     """
 
@@ -45,8 +49,8 @@
         collections.deque
     )
 
-    def set(self, sequence: int, task: Task) -> None:
-        """Takes in one change."""
+    def apply_change(self, sequence: int, task: Task) -> None:
+        """Applies one change."""
         if task.phase in FINAL_PHASES:
             self.tasks.pop(task.id, None)
         else:
@@ -58,13 +62,13 @@
 
 
 class SliceLogs:
-    """Follows the logs of slices into the directory.
+    """Applies the logs of slices to the upstream directory.
 
-    Only replicas of services are kept; what a slice does with jobs does not
-    concern routing.
+    Only replicas of services are kept, since routing needs no tasks of jobs.
 
     Attributes:
-      heads: The newest change of each slice that is known to exist.
+      heads: Newest known sequence number of each slice's log, whether applied
+        or not.
     """
 
     def __init__(self, table: Table, directory: UpstreamDirectory):
@@ -74,27 +78,27 @@
         self._views: dict[str, SliceView] = {}
 
     def get_sequence(self, name: str) -> int:
-        """Returns up to where a slice's log is known; -1 for not at all."""
+        """Returns the position up to which a slice's log is applied, or -1."""
         view = self._views.get(name)
         return view.sequence if view else -1
 
     def list_services(self) -> dict[str, int]:
-        """Returns the newest change of a service in each slice."""
+        """Returns the number of the newest change of a service, by slice."""
         return {name: view.newest for name, view in self._views.items()}
 
-    def note_head(self, name: str, sequence: int) -> bool:
-        """Takes note that a change exists; returns whether that is new."""
+    def update_head(self, name: str, sequence: int) -> bool:
+        """Records that a change exists; returns whether it is the newest."""
         newer = sequence > self.heads.get(name, -1)
         if newer:
             self.heads[name] = sequence
         return newer
 
-    async def follow(self, name: str, row: Row) -> None:
-        """Takes in what the table has and this daemon has not.
+    async def read_new_changes(self, name: str, row: Row) -> None:
+        """Reads and applies the changes that this daemon lacks.
 
         Args:
-          name: The slice.
-          row: Its row, just read.
+          name: The slice's name.
+          row: The slice's row, just read.
         """
         data = row.body['data']
         newest = int(data.get('services', data.get('sequence', 0)))
@@ -107,8 +111,8 @@
         await self._read_log(name, view, newest)
 
     async def _load(self, name: str) -> SliceView:
-        # The log is read from before the scan, so that what changes during
-        # the scan is put on top of it.
+        # The position is read before the scan, so that changes during the
+        # scan are applied on top of its result.
         rows = await self._table.read([make_slice_key(name)])
         data = rows[make_slice_key(name)].body['data']
         sequence = int(data.get('sequence', 0))
@@ -116,7 +120,7 @@
         tasks = [structure(row.body, Task) for row in found]
         known = self._views.get(name)
         if known is not None and known.sequence >= sequence:
-            # A peer's answer came meanwhile, and it is newer.
+            # A reply of a peer was applied meanwhile, and it is newer.
             return known
         return self._replace(name, sequence, tasks)
 
@@ -132,26 +136,30 @@
     async def _read_log(self, name: str, view: SliceView, newest: int) -> None:
         while view.sequence < newest:
             after = make_change_key(name, view.sequence)
-            rows = await self._table.scan(after.partition, after.sort, PAGE)
+            rows = await self._table.scan(
+                after.partition, after.sort, PAGE_ROWS
+            )
             if not rows or self._views.get(name) is not view:
                 return
             for row in rows:
-                # A peer's answer that came meanwhile may have gone further;
-                # older changes on top of it would bring back what is gone.
+                # A reply of a peer applied meanwhile may be newer; older
+                # changes on top of it would restore replicas that ended.
                 if int(row.key.sort) > view.sequence:
-                    self._set(name, view, int(row.key.sort), _read_tasks(row))
+                    self._apply_changes(
+                        name, view, int(row.key.sort), _read_tasks(row)
+                    )
 
-    def _set(
+    def _apply_changes(
         self, name: str, view: SliceView, sequence: int, tasks: Iterable[Task]
     ) -> None:
         for task in tasks:
             if task.is_service:
-                view.set(sequence, task)
+                view.apply_change(sequence, task)
                 self._directory.update(name, task)
         view.sequence = sequence
 
     def answer(self, name: str, after: int) -> peer_pb2.ChangesReply:
-        """Answers a peer that knows a slice up to a change."""
+        """Returns a slice's changes after a sequence number, or a snapshot."""
         view = self._views.get(name)
         if view is None:
             return peer_pb2.ChangesReply()
@@ -170,8 +178,8 @@
             snapshot=snapshot,
         )
 
-    def take(self, name: str, reply: peer_pb2.ChangesReply) -> None:
-        """Takes in a peer's answer; an older one is ignored."""
+    def apply_reply(self, name: str, reply: peer_pb2.ChangesReply) -> None:
+        """Applies a peer's reply; ignores one that brings nothing newer."""
         view = self._views.get(name)
         if view is not None and reply.newest <= view.sequence:
             return
@@ -186,7 +194,7 @@
             return
         for sequence, task in tasks:
             if sequence > view.sequence:
-                view.set(sequence, task)
+                view.apply_change(sequence, task)
                 self._directory.update(name, task)
         view.sequence = reply.newest
 
--- a/lentilmount/daemon/streams.py
+++ b/lentilmount/daemon/streams.py
@@ -1,4 +1,4 @@
-"""Watches, and the time line."""
+"""Handlers of the resource API that stream changes and list events."""
 
 from __future__ import annotations
 
@@ -35,47 +35,53 @@
 
 
 @attrs.define
-class Seats:
-    """How many watches are open, and how many may be."""
+class WatchLimit:
+    """Bounds the number of open watches.
 
-    most: int
-    taken: int = 0
+    Attributes:
+      limit: Maximum number of open watches.
+      open_count: Number of watches that are open.
+    """
 
-    def take(self) -> None:
-        """Takes a seat.
+    limit: int
+    open_count: int = 0
+
+    def acquire(self) -> None:
+        """Counts a watch as open.
 
         Raises:
-          LentilmountError: Of kind LIMITED; all are taken.
+          LentilmountError: Of kind LIMITED; the limit is reached.
         """
-        if self.taken >= self.most:
+        if self.open_count >= self.limit:
             raise LentilmountError(
-                f'{self.most} watches are open, and no more are served here',
+                f'the limit of {self.limit} open watches is reached; '
+                'close one or retry later',
                 kind=ErrorKind.LIMITED,
                 retry_after=RETRY_SECONDS,
             )
-        self.taken += 1
+        self.open_count += 1
 
-    def leave(self) -> None:
-        """Gives a seat back."""
-        self.taken -= 1
+    def release(self) -> None:
+        """Counts a watch as closed."""
+        self.open_count -= 1
 
 
 class WatchHandler(ApiHandler):
-    """Streams changes, one JSON object a line."""
+    """Streams changes, as one JSON object per line."""
 
-    def initialize(self, api: Api, seats: Seats) -> None:  # type: ignore[override]
-        """Keeps the parts."""
+    def initialize(self, api: Api, seats: WatchLimit) -> None:  # type: ignore[override]
+        """Sets the API's parts and the limit on open watches."""
         super().initialize(api)
-        self.seats = seats
+        self.watch_limit = seats
         self.closed = False
 
     def on_connection_close(self) -> None:
-        """Takes note that the watcher has gone; called by tornado."""
+        """Records that the client has disconnected; called by tornado."""
         self.closed = True
         super().on_connection_close()
 
     async def get(self) -> None:
-        """Answers with changes until the watcher goes or the daemon stops."""
+        """Sends changes until the client disconnects or the daemon stops."""
         grant = self.admit()
         wanted = WatchFilter(
             list_visible(grant),
@@ -86,7 +92,7 @@
         positions = await self.api.watcher.read_cursor(
             self.get_query_argument('cursor', '')
         )
-        self.seats.take()
+        self.watch_limit.acquire()
         try:
             self.set_header('Content-Type', STREAM_TYPE)
             async for notice in self.api.watcher.follow(positions, wanted):
@@ -97,10 +103,10 @@
         except StreamClosedError:
             return
         except LentilmountError as error:
-            # The status has gone out long ago: the last line tells instead.
+            # The HTTP status is already sent, so the last line holds the error.
             await self._send({'error': make_problem(error)})
         finally:
-            self.seats.leave()
+            self.watch_limit.release()
 
     async def _send(self, value: Notice | dict[str, Any]) -> None:
         self.write(encode(value) + b'\n')
@@ -108,10 +114,10 @@
 
 
 class TimeLineHandler(ApiHandler):
-    """Answers with the events of every daemon."""
+    """Lists the events of all daemons."""
 
     async def get(self) -> None:
-        """Answers with events in order, and who could not be reached."""
+        """Answers with events in order, and the daemons that did not answer."""
         grant = self.admit()
         grant.require(Verb.READ, grant.team)
         wanted = EventFilter(
--- a/lentilmount/daemon/survey.py
+++ b/lentilmount/daemon/survey.py
@@ -1,4 +1,4 @@
-"""Asks every other daemon at once, and tells who did not answer."""
+"""Queries all other daemons in parallel; None stands for no answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lentilmount.clock import Stamp
 from lentilmount.codec import decode, parse_json
 from lentilmount.coordination.membership import Member
-from lentilmount.daemon.peers import PeerFailure
+from lentilmount.daemon.peers import PEER_ERRORS
 from lentilmount.events import Event
 from lentilmount.queries.timeline import Cursor, EventFilter
 from lentilmount.wire import peer_grpc, peer_pb2
@@ -20,17 +20,17 @@
 
 
 class PeerAccess(Protocol):
-    """Where the other daemons are reached."""
+    """Lists the other daemons and provides gRPC stubs for them."""
 
     def list_others(self) -> list[Member]:
-        """Returns every other daemon that should be there."""
+        """Returns all other known daemons, without those that are stopping."""
 
     def get_stub(self, address: str) -> peer_grpc.PeerStub:
-        """Returns the stub of a daemon."""
+        """Returns the gRPC stub for a daemon's address."""
 
 
 class Survey:
-    """Questions to all other daemons."""
+    """Queries all other daemons for their events and states."""
 
     def __init__(self, peers: PeerAccess):
         self._peers = peers
@@ -57,7 +57,7 @@
         return await self._ask_all(ask)
 
     async def describe_all(self) -> dict[str, dict[str, Any] | None]:
-        """Returns the state of each other daemon; None for no answer."""
+        """Returns the state of each other daemon, or None for no answer."""
 
         async def ask(member: Member) -> dict[str, Any]:
             stub = self._peers.get_stub(member.address)
@@ -71,14 +71,14 @@
         self, ask: Callable[[Member], Awaitable[T]]
     ) -> dict[str, T | None]:
         members = self._peers.list_others()
-        answers = await asyncio.gather(*(_try(ask, m) for m in members))
+        answers = await asyncio.gather(*(_ask(ask, m) for m in members))
         return {m.name: a for m, a in zip(members, answers, strict=True)}
 
 
-async def _try(
+async def _ask(
     ask: Callable[[Member], Awaitable[T]], member: Member
 ) -> T | None:
     try:
         return await ask(member)
-    except PeerFailure:
+    except PEER_ERRORS:
         return None
--- a/lentilmount/daemon/web.py
+++ b/lentilmount/daemon/web.py
@@ -1,4 +1,4 @@
-"""What every HTTP handler of the daemon shares: access and errors."""
+"""Base of the daemon's HTTP handlers: access, bodies and errors."""
 
 from __future__ import annotations
 
@@ -38,82 +38,89 @@
 
 @stream_request_body
 class Handler(RequestHandler):
-    """A handler whose every failure is a problem document.
+    """A handler that answers every failure with a problem document.
 
-    The body is taken in here, piece by piece, because the library would
-    answer one that is too large without a problem document.
+    It receives the body itself, chunk by chunk, because tornado would reject
+    a body that is too large without a problem document.
 
     Attributes:
-      is_open: Whether everybody is served, also without a token.
-      request_id: The caller's id of the request, or a new one.
+      is_open: Whether requests without a token are served.
+      request_id: Id given by the caller, or a generated one.
     """
 
     is_open = False
 
     def initialize(self, gate: Gate) -> None:
-        """Keeps the gate."""
+        """Sets the gate, which checks tokens."""
         self.gate = gate
         self._limits: BodyLimits = self.settings.get(BODY_LIMITS, BodyLimits())
         self._grant: Grant | None = None
-        self._pieces: list[bytes] = []
-        self._expected = 0
-        self._held = 0
+        self._chunks: list[bytes] = []
+        self._content_length = 0
+        self._reserved = 0
 
     def prepare(self) -> None:
-        """Gives the request its id, and admits it before its body comes.
+        """Sets the request id, and checks access before the body is read.
 
-        A caller without a token must not make the daemon hold its body.
+        A caller without a token must not make the daemon buffer its body.
         """
         self.request_id = self._read_request_id()
         self.set_header(REQUEST_ID_HEADER, self.request_id)
         bind(request=self.request_id)
         length = self.request.headers.get('Content-Length', '')
-        self._expected = int(length) if length.isdecimal() else 0
-        # The rest of a refused body is read and dropped, within the time for
-        # slow senders: closing at once would reset the connection and could
-        # lose the answer on its way.
+        self._content_length = int(length) if length.isdecimal() else 0
+        # The rest of a refused body is read and discarded, within the timeout
+        # for bodies. Closing the connection at once would reset it, and the
+        # answer could be lost.
         connection: Any = self.request.connection
-        connection.set_max_body_size(max(self._limits.largest, self._expected))
+        connection.set_max_body_size(
+            max(self._limits.max_body_bytes, self._content_length)
+        )
         if not self.is_open:
             self.admit()
-        # A body of unknown length may become as large as any.
+        # A body of unknown length may reach the maximum size.
         is_chunked = 'Transfer-Encoding' in self.request.headers
-        held = self._limits.largest if is_chunked else self._expected
-        self._limits.hold(held)
-        self._held = held
+        reserved = (
+            self._limits.max_body_bytes if is_chunked else self._content_length
+        )
+        self._limits.reserve(reserved)
+        self._reserved = reserved
 
     def _read_request_id(self) -> str:
         given = self.request.headers.get(REQUEST_ID_HEADER, '')
-        made = uuid.uuid4().hex
+        generated = uuid.uuid4().hex
         if len(given) > MAX_REQUEST_ID or not given.isprintable():
-            self.request_id = made
+            self.request_id = generated
             raise InvalidError(
                 f'{REQUEST_ID_HEADER} must be at most {MAX_REQUEST_ID} '
                 f'printable characters'
             )
-        return given or made
+        return given or generated
 
     def data_received(self, chunk: bytes) -> None:
-        """Takes a piece of the body; called by tornado."""
-        self._pieces.append(chunk)
-        if not self._expected or sum(map(len, self._pieces)) == self._expected:
-            self.request.body = b''.join(self._pieces)
-            self._pieces = [self.request.body]
+        """Appends a chunk of the body; called by tornado."""
+        self._chunks.append(chunk)
+        if (
+            not self._content_length
+            or sum(map(len, self._chunks)) == self._content_length
+        ):
+            self.request.body = b''.join(self._chunks)
+            self._chunks = [self.request.body]
 
     def on_finish(self) -> None:
-        """Gives back what the body held; called by tornado."""
+        """Releases the memory reserved for the body; called by tornado."""
         self._release()
 
     def on_connection_close(self) -> None:
-        """Gives back what the body held; called by tornado."""
+        """Releases the memory reserved for the body; called by tornado."""
         self._release()
 
     def _release(self) -> None:
-        self._limits.release(self._held)
-        self._held = 0
+        self._limits.release(self._reserved)
+        self._reserved = 0
 
     def admit(self) -> Grant:
-        """Returns what the request's token allows."""
+        """Checks the request's token and returns what it allows."""
         if self._grant is None:
             header = self.request.headers.get('Authorization', '')
             self._grant = self.gate.admit(header)
@@ -143,7 +150,7 @@
         self.finish(json.dumps(problem))
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Logs what nobody expected."""
+        """Logs unexpected exceptions; called by tornado."""
         if isinstance(value, LentilmountError | HTTPError):
             return
         log.error('A request failed.', exc_info=(typ, value, tb))
@@ -156,11 +163,11 @@
 
 
 class NoRouteHandler(Handler):
-    """Answers where there is no route."""
+    """Answers requests for paths without a route."""
 
     is_open = True
 
     def prepare(self) -> None:
-        """Refuses every request."""
+        """Rejects the request."""
         super().prepare()
         raise NotFoundError(f'there is no route {self.request.path}')
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -95,22 +95,22 @@
         )
         with socket.create_connection(address, 5) as slow:
             slow.sendall(head % 6000 + b'x' * 5999)
-            _wait_until_held(limits, 6000)
+            _wait_until_reserved(limits, 6000)
             answer = _ask(address, head % 3000 + b'x' * 3000)
             assert answer.startswith(b'HTTP/1.1 503')
             assert b'Retry-After: 1' in answer
             assert _ask(address, head % 2 + b'[]').startswith(b'HTTP/1.1 400')
-        _wait_until_held(limits, 0)
+        _wait_until_reserved(limits, 0)
         answer = _ask(address, head % 3000 + b'x' * 3000)
         assert answer.startswith(b'HTTP/1.1 400')
 
 
-def _wait_until_held(limits: BodyLimits, size: int) -> None:
+def _wait_until_reserved(limits: BodyLimits, size: int) -> None:
     for _ in range(1000):
-        if limits.held == size:
+        if limits.reserved_bytes == size:
             return
         time.sleep(0.005)
-    raise AssertionError(f'{limits.held} bytes are held, not {size}')
+    raise AssertionError(f'{limits.reserved_bytes} bytes are held, not {size}')
 
 
 def _ask(address: tuple[str, int], request: bytes) -> bytes:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -98,7 +98,7 @@
         self.runner.run(self.table.release())
         self.patch.undo()
         for daemon in self.daemons.values():
-            self.runner.run(daemon.follower.look())
+            self.runner.run(daemon.follower.poll_table())
             assert not daemon.configuration.is_behind
         self.nothing_reverts()
         self.runner.close()
@@ -163,16 +163,16 @@
         self.table.down = not self.table.down
 
     @rule(number=DAEMONS)
-    def look(self, number: int) -> None:
+    def poll_table(self, number: int) -> None:
         if not self.table.down:
-            self.runner.run(self.daemons[f'd{number}'].follower.look())
+            self.runner.run(self.daemons[f'd{number}'].follower.poll_table())
 
     @rule(number=DAEMONS, other=DAEMONS)
     def tell(self, number: int, other: int) -> None:
         source, target = self.daemons[f'd{number}'], self.daemons[f'd{other}']
         revision = source.configuration.revision
-        target.follower.hear(News(revision, sender=f'd{number}'))
-        self.runner.run(target.follower.ask_peers())
+        target.follower.handle_report(News(revision, sender=f'd{number}'))
+        self.runner.run(target.follower.fetch_from_peers())
         assert target.configuration.revision >= revision
 
     @rule(number=DAEMONS, behind=st.integers(0, 4))
@@ -186,7 +186,7 @@
     def get_a_late_answer(self, pick: int, number: int) -> None:
         if self.answers:
             answer = self.answers[pick % len(self.answers)]
-            self.daemons[f'd{number}'].follower.take_changes(answer)
+            self.daemons[f'd{number}'].follower.apply_reply(answer)
 
     @rule(number=DAEMONS)
     def restart(self, number: int) -> None:
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -210,10 +210,10 @@
     security = Security(ListenerTlsSettings(operators=tls))
     other = Authority(trustme.CA(), authority.folder)
     other.issue('one')
-    security.renew()
+    security.reload_certificates()
     pathlib.Path(tls.key).write_text('broken')
     with pytest.raises(SettingsError) as caught:
-        security.renew()
+        security.reload_certificates()
     assert 'tls' in str(caught.value)
     with pytest.raises(SettingsError) as caught:
         Security(ListenerTlsSettings(peers=tls))
