--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures, and the tests that are known to fail."""
+"""Fixtures, and the handling of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Lets the run pass over the tests that KNOWN-RED.txt lists."""
+    """Marks the tests that KNOWN-RED.txt lists as expected failures."""
     known = read_known_red(KNOWN_RED.read_text('utf-8'))
     for item in items:
         if item.nodeid in known:
@@ -41,7 +41,7 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Prints what KNOWN-RED.txt lists, so that nobody overlooks it."""
+    """Prints the entries of KNOWN-RED.txt, so that nobody overlooks them."""
     known = read_known_red(KNOWN_RED.read_text('utf-8'))
     for test, why in known.items():
         terminalreporter.write_line(f'KNOWN RED: {test}: {why}')
@@ -49,9 +49,9 @@
 
 @pytest.fixture(scope='module')
 def site() -> Iterator[Site]:
-    # Its daemons and workers run in a thread of this process. Were it kept
-    # beyond a module, the mutations of other modules, which replace methods
-    # of classes, would reach it: one raised its workers' epochs for good, and
-    # they refused their owners from then on.
+    # One site per module: its daemons and workers run in a thread of this
+    # process, and mutation tests of other modules replace methods of classes.
+    # In a shared site one such mutation raised the workers' epochs
+    # permanently, and the workers then refused commands of their owners.
     with open_site() as opened:
         yield opened
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests share."""
+"""Helpers shared by several test modules."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def run(work: Coroutine[Any, Any, T]) -> T:
-    """Runs a coroutine to its end."""
+    """Runs a coroutine and returns its result."""
     return asyncio.run(work)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: each a clear error of the closed list, and nothing lost."""
+"""Invalid input is answered with a documented error and changes nothing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lentilmount.errors import ANSWERS, ErrorKind
 from stand_ins.site import Site, make_job, make_service
 
-HUGE = 5 * 1024 * 1024
+OVERSIZED_BYTES = 5 * 1024 * 1024
 
 
 def read_problem(answer: Any) -> dict[str, Any]:
@@ -38,7 +38,11 @@
         (b'[]', 'invalid', 'must be an object'),
         (b'{"kind": NaN}', 'invalid', 'NaN is not a JSON number'),
         (b'{"kind": 1, "kind": 2}', 'invalid', 'kind is given twice'),
-        (b'x' * HUGE, 'too-large', f'the body has {HUGE} bytes'),
+        (
+            b'x' * OVERSIZED_BYTES,
+            'too-large',
+            f'the body has {OVERSIZED_BYTES} bytes',
+        ),
     ],
 )
 def test_bodies(site: Site, body: bytes, kind: str, detail: str) -> None:
@@ -47,42 +51,45 @@
     assert detail in problem['detail']
 
 
-def test_a_huge_body_to_a_service_did_not_run(site: Site) -> None:
+def test_oversized_body_to_a_service_did_not_run(site: Site) -> None:
     answer = site.send(
-        'POST', '/call/desk/airtime/x', b'x' * HUGE, listener='callers'
+        'POST',
+        '/call/desk/airtime/x',
+        b'x' * OVERSIZED_BYTES,
+        listener='callers',
     )
     assert read_problem(answer)['kind'] == 'too-large'
     assert answer.headers['Lentilmount-Ran'] == 'no'
 
 
-def test_a_body_of_unknown_length_is_cut_at_the_limit(site: Site) -> None:
+def test_body_of_unknown_length_is_refused_at_the_limit(site: Site) -> None:
     host, port = site.daemons[0].addresses['operators'].split(':')
     head = (
         b'POST /v1/jobs HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer admin\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n'
     )
     piece = b'100000\r\n' + b'x' * 0x100000 + b'\r\n'
-    with socket.create_connection((host, int(port)), 5) as link:
-        link.sendall(head)
+    with socket.create_connection((host, int(port)), 5) as connection:
+        connection.sendall(head)
         try:
             for _ in range(8):
-                link.sendall(piece)
-            answer = link.recv(100)
+                connection.sendall(piece)
+            answer = connection.recv(100)
         except ConnectionError:
             answer = b''
     assert answer[:12] in (b'', b'HTTP/1.1 400')
 
 
-def test_a_body_is_not_taken_without_a_token(site: Site) -> None:
+def test_body_is_not_read_without_a_token(site: Site) -> None:
     host, port = site.daemons[0].addresses['operators'].split(':')
     head = b'POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 4000000\r\n'
-    with socket.create_connection((host, int(port)), 5) as link:
-        link.sendall(head + b'\r\nx')
-        assert link.recv(12) == b'HTTP/1.1 401'
+    with socket.create_connection((host, int(port)), 5) as connection:
+        connection.sendall(head + b'\r\nx')
+        assert connection.recv(12) == b'HTTP/1.1 401'
 
 
-def test_many_bodies_do_not_fill_the_memory(site: Site) -> None:
-    """Large bodies that trickle in filled the memory of the host."""
+def test_total_size_of_bodies_is_bounded(site: Site) -> None:
+    """Large bodies that arrive slowly must not exhaust the host's memory."""
     from tests.test_listeners import open_listener  # noqa: PLC0415
 
     head = (
@@ -114,12 +121,12 @@
 
 
 def _ask(address: tuple[str, int], request: bytes) -> bytes:
-    with socket.create_connection(address, 5) as link:
-        link.sendall(request)
-        return link.recv(1000)
+    with socket.create_connection(address, 5) as connection:
+        connection.sendall(request)
+        return connection.recv(1000)
 
 
-def test_a_request_id_that_cannot_be_kept(site: Site) -> None:
+def test_invalid_request_id(site: Site) -> None:
     for given in ('x' * 101, 'a\tb'):
         answer = site.send('GET', '/v1/jobs', Lentilmount_Request=given)
         assert read_problem(answer)['kind'] == 'invalid'
@@ -214,8 +221,10 @@
     assert basic.status == 401
 
 
-def test_a_stale_revision_loses_and_is_told_both(site: Site) -> None:
-    """The later of two changes silently undid the earlier one."""
+def test_stale_revision_is_a_conflict_that_names_both_revisions(
+    site: Site,
+) -> None:
+    """A change based on a stale revision must not undo a newer one."""
     made = site.call('POST', '/v1/services', make_service('race', 'desk'))
     seen = made['resource']['metadata']['revision']
 
@@ -236,8 +245,8 @@
     assert read_problem(stale)['kind'] == 'conflict'
 
 
-def test_a_job_is_not_changed_and_its_name_not_used_again(site: Site) -> None:
-    """A late report on a deleted job was taken for one on its successor."""
+def test_job_is_immutable_and_its_name_is_not_reused(site: Site) -> None:
+    """A late report on a deleted job must not be applied to its successor."""
     site.tool('apply', '-f', '-', '--wait', stdin=json.dumps(make_job('once')))
     other = json.dumps(make_job('once', payload='{}')).encode()
     assert read_problem(site.send('POST', '/v1/jobs', other))['kind'] == (
@@ -257,7 +266,7 @@
     )
 
 
-def test_pages_hold_every_job_once_whatever_the_filter(site: Site) -> None:
+def test_pages_list_each_job_once_with_any_filter(site: Site) -> None:
     for number in range(7):
         site.call('POST', '/v1/jobs', make_job(f'page-{number}', 'rival'))
     site.call('POST', '/v1/jobs', make_job('pagf', 'rival'))
@@ -285,8 +294,8 @@
     assert len(workers) == 4
 
 
-def test_a_slow_sender_is_cut_off(site: Site) -> None:
-    """Clients that send half a request held connections for good."""
+def test_slow_sender_is_disconnected(site: Site) -> None:
+    """Clients that send half a request must not keep connections open."""
     from tests.test_listeners import open_listener  # noqa: PLC0415
 
     head = (
@@ -296,7 +305,7 @@
     limits = {'idle_seconds': 0.2, 'body_seconds': 0.2}
     with open_listener(site, **limits) as (host, port):
         for sent in (b'GET / HT', head + b'x'):
-            with socket.create_connection((host, port), 5) as link:
-                link.sendall(sent)
-                while link.recv(1000):
+            with socket.create_connection((host, port), 5) as connection:
+                connection.sendall(sent)
+                while connection.recv(1000):
                     pass
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: accepted once, and it never reverts."""
+"""Configuration changes are accepted once and never reverted."""
 
 import asyncio
 from typing import Any
@@ -36,7 +36,7 @@
 
 
 class Daemon:
-    """What a daemon has of the configuration, and how it follows."""
+    """A daemon's configuration and its follower, with peers in memory."""
 
     def __init__(self, table: FaultyTable, others: dict[str, 'Daemon']):
         self.configuration = Configuration()
@@ -62,7 +62,7 @@
         request = peer_pb2.ChangesRequest(log=log, after=after)
         return other.follower.answer(request)
 
-    def weigh(self, team: str) -> float | None:
+    def get_weight(self, team: str) -> float | None:
         found = self.configuration.get(Kind.TEAM, '', team)
         if found is None:
             return None
@@ -70,10 +70,10 @@
         return found.spec.weight
 
 
-class Machine(RuleBasedStateMachine):
-    """Operators race while the table fails and daemons restart.
+class ConfigurationMachine(RuleBasedStateMachine):
+    """Concurrent commands while the table fails and daemons restart.
 
-    Logs are so short here that daemons fall out of them all the time.
+    Change logs are kept so short that daemons often need a snapshot.
     """
 
     def __init__(self) -> None:
@@ -87,7 +87,7 @@
         self.table = FaultyTable()
         self.daemons: dict[str, Daemon] = {}
         self.in_force: dict[str, int] = {}
-        self.open: dict[str, Resource] = {}
+        self.unanswered: dict[str, Resource] = {}
         self.answers: list[peer_pb2.ChangesReply] = []
         self.commands = 0
         for number in range(3):
@@ -100,7 +100,7 @@
         for daemon in self.daemons.values():
             self.runner.run(daemon.follower.poll_table())
             assert not daemon.configuration.is_behind
-        self.nothing_reverts()
+        self.check_no_daemon_reverts()
         self.runner.close()
 
     def start(self, number: int) -> None:
@@ -110,21 +110,29 @@
     @rule(
         number=DAEMONS,
         team=st.sampled_from(TEAMS),
-        stale=st.booleans(),
-        lost=st.integers(0, 5),
-        late=st.integers(0, 5),
+        use_stale_revision=st.booleans(),
+        lost_answers=st.integers(0, 5),
+        late_writes=st.integers(0, 5),
     )
     def command(
-        self, number: int, team: str, stale: bool, lost: int, late: int
+        self,
+        number: int,
+        team: str,
+        use_stale_revision: bool,
+        lost_answers: int,
+        late_writes: int,
     ) -> None:
         revision = self.find_revision(team)
-        if stale:
+        if use_stale_revision:
             seen = self.daemons[f'd{number}'].configuration
             found = seen.get(Kind.TEAM, '', team)
             revision = found.metadata.revision if found else 0
         self.commands += 1
         resource = make_team(team, float(self.commands), revision)
-        self.table.lose_answers, self.table.hold_writes = lost, late
+        self.table.lose_answers, self.table.hold_writes = (
+            lost_answers,
+            late_writes,
+        )
         self.send(f'request-{self.commands}', resource)
         self.table.lose_answers = self.table.hold_writes = 0
 
@@ -137,29 +145,29 @@
         return max(changed, default=0)
 
     def send(self, request_id: str, resource: Resource) -> None:
-        desk = Configurer(self.table)
+        configurer = Configurer(self.table)
         try:
-            self.runner.run(desk.apply(resource, request_id))
-            self.open.pop(request_id, None)
+            self.runner.run(configurer.apply(resource, request_id))
+            self.unanswered.pop(request_id, None)
         except ConflictError as error:
             extra = error.extra
             assert extra['given_revision'] != extra['current_revision']
-            self.open.pop(request_id, None)
+            self.unanswered.pop(request_id, None)
         except StoreError:
-            self.open[request_id] = resource
+            self.unanswered[request_id] = resource
 
     @rule(pick=st.integers(0, 99))
     def retry(self, pick: int) -> None:
-        if self.open:
-            request_id = sorted(self.open)[pick % len(self.open)]
-            self.send(request_id, self.open[request_id])
+        if self.unanswered:
+            request_id = sorted(self.unanswered)[pick % len(self.unanswered)]
+            self.send(request_id, self.unanswered[request_id])
 
     @rule()
-    def let_late_writes_apply(self) -> None:
+    def apply_late_writes(self) -> None:
         self.runner.run(self.table.release())
 
     @rule()
-    def switch_the_table(self) -> None:
+    def toggle_table_outage(self) -> None:
         self.table.down = not self.table.down
 
     @rule(number=DAEMONS)
@@ -168,7 +176,7 @@
             self.runner.run(self.daemons[f'd{number}'].follower.poll_table())
 
     @rule(number=DAEMONS, other=DAEMONS)
-    def tell(self, number: int, other: int) -> None:
+    def send_report(self, number: int, other: int) -> None:
         source, target = self.daemons[f'd{number}'], self.daemons[f'd{other}']
         revision = source.configuration.revision
         target.follower.handle_report(News(revision, sender=f'd{number}'))
@@ -176,14 +184,14 @@
         assert target.configuration.revision >= revision
 
     @rule(number=DAEMONS, behind=st.integers(0, 4))
-    def ask(self, number: int, behind: int) -> None:
+    def request_changes(self, number: int, behind: int) -> None:
         source = self.daemons[f'd{number}']
         after = max(0, source.configuration.revision - behind)
         request = peer_pb2.ChangesRequest(log='configuration', after=after)
         self.answers.append(source.follower.answer(request))
 
     @rule(pick=st.integers(0, 99), number=DAEMONS)
-    def get_a_late_answer(self, pick: int, number: int) -> None:
+    def apply_late_answer(self, pick: int, number: int) -> None:
         if self.answers:
             answer = self.answers[pick % len(self.answers)]
             self.daemons[f'd{number}'].follower.apply_reply(answer)
@@ -193,7 +201,7 @@
         self.start(number)
 
     @invariant()
-    def nothing_reverts(self) -> None:
+    def check_no_daemon_reverts(self) -> None:
         log = self.read_log()
         for name, daemon in self.daemons.items():
             revision = daemon.configuration.revision
@@ -204,7 +212,7 @@
                 resource = log[number]['resource']
                 weights[log[number]['path']] = resource['spec']['weight']
             for team in TEAMS:
-                assert daemon.weigh(team) == weights.get(f'Team//{team}')
+                assert daemon.get_weight(team) == weights.get(f'Team//{team}')
 
     def read_log(self) -> dict[int, Any]:
         log = {
@@ -212,7 +220,7 @@
             for write in self.table.history
             if write.key.partition == 'change/configuration' and write.body
         }
-        # A command's weight is its own; each was accepted once at most.
+        # Each command has a unique weight, and is accepted at most once.
         weights = [
             entry['resource']['spec']['weight'] for entry in log.values()
         ]
@@ -220,30 +228,30 @@
         return log
 
 
-TestConfiguration = Machine.TestCase
+TestConfiguration = ConfigurationMachine.TestCase
 TestConfiguration.settings = settings(
     max_examples=120, stateful_step_count=50, deadline=None, derandomize=True
 )
 
 
-def test_a_request_id_is_for_one_command() -> None:
+def test_request_id_identifies_one_command() -> None:
     async def check() -> None:
-        desk = Configurer(FaultyTable())
-        first = await desk.apply(make_team('one', 2.0), 'id')
-        assert await desk.apply(make_team('one', 2.0), 'id') == first
+        configurer = Configurer(FaultyTable())
+        first = await configurer.apply(make_team('one', 2.0), 'id')
+        assert await configurer.apply(make_team('one', 2.0), 'id') == first
         with pytest.raises(InvalidError):
-            await desk.apply(make_team('one', 3.0), 'id')
+            await configurer.apply(make_team('one', 3.0), 'id')
 
     run(check())
 
 
-def test_many_operators_at_once_all_get_through() -> None:
+def test_concurrent_commands_are_all_accepted() -> None:
     async def check() -> None:
         table = FaultyTable()
-        desks = [Configurer(table) for _ in range(4)]
+        configurers = [Configurer(table) for _ in range(4)]
         await asyncio.gather(
             *(
-                desks[n % 4].apply(make_team(f't{n}', 2.0), f'id-{n}')
+                configurers[n % 4].apply(make_team(f't{n}', 2.0), f'id-{n}')
                 for n in range(60)
             )
         )
@@ -254,10 +262,10 @@
     run(check())
 
 
-def test_a_snapshot_is_of_one_revision_while_others_write() -> None:
-    """A snapshot mixed rows of two revisions."""
+def test_snapshot_is_consistent_during_concurrent_writes() -> None:
+    """A snapshot must not mix rows of two revisions."""
 
-    class Busy(FaultyTable):
+    class TableWithConcurrentWrites(FaultyTable):
         weight = 2.0
 
         async def scan(self, partition: str, *args: object) -> list:  # type: ignore[type-arg]
@@ -274,7 +282,7 @@
             return rows
 
     async def check() -> None:
-        table = Busy()
+        table = TableWithConcurrentWrites()
         for team in TEAMS:
             await Configurer(table).apply(make_team(team, 2.0), team)
         snapshot = await read_snapshot(table)
@@ -287,7 +295,7 @@
 
 
 def test_not_ready_until_the_newest_known_revision_is_in_force() -> None:
-    """A daemon that starts behind undid changes."""
+    """A daemon that starts with an old revision must not undo changes."""
     configuration = Configuration()
     configuration.note(5)
     configuration.load(3, [make_team('one', 2.0)])
@@ -314,7 +322,7 @@
     assert configuration.list_after(3) == changes[1:]
 
 
-def test_old_answers_to_commands_are_deleted() -> None:
+def test_expired_answers_to_commands_are_deleted() -> None:
     async def check() -> None:
         table = FaultyTable()
         for number in range(3):
--- a/tests/test_faults_of_commands.py
+++ b/tests/test_faults_of_commands.py
@@ -1,4 +1,4 @@
-"""Commands while the platform fails, and daemons told by signals."""
+"""Commands during faults of the platform, and signals to a daemon."""
 
 from __future__ import annotations
 
@@ -26,36 +26,36 @@
 from stand_ins.site import Site, make_job, make_service
 
 
-def test_a_command_whose_answers_are_lost_is_one_change(site: Site) -> None:
-    """A command that is sent again after a lost answer was a second change."""
+def test_command_with_lost_answers_is_applied_once(site: Site) -> None:
+    """A command retried after a lost answer must not be applied twice."""
     site.tool('apply', '-f', '-', stdin=json.dumps(make_service('l', 'desk')))
     before = site.call('GET', '/v1/services/desk/l')['metadata']['revision']
     newest = site.call('GET', '/v1/status')['revision']
     changed = make_service('l', 'desk', replicas=3)
     site.platform.table_faults.lose_answers = 6
-    told = site.tool('apply', '-f', '-', stdin=json.dumps(changed))
-    assert told.status is ExitStatus.OK, told
-    assert 'Service desk/l: accepted' in told.out
+    result = site.tool('apply', '-f', '-', stdin=json.dumps(changed))
+    assert result.status is ExitStatus.OK, result
+    assert 'Service desk/l: accepted' in result.out
     service = site.call('GET', '/v1/services/desk/l')
     assert service['spec']['replicas'] == 3
     assert service['metadata']['revision'] == newest + 1 > before
 
 
-def test_an_outage_is_told_and_the_command_works_after_it(site: Site) -> None:
+def test_outage_is_reported_and_a_later_retry_succeeds(site: Site) -> None:
     job = json.dumps(make_job('outage'))
     site.platform.table_faults.down = True
     try:
-        told = site.tool('apply', '-f', '-', stdin=job)
+        result = site.tool('apply', '-f', '-', stdin=job)
     finally:
         site.platform.table_faults.down = False
-    assert told.status is ExitStatus.UNAVAILABLE
-    assert 'the table service does not answer' in told.err
-    assert 'try again in' in told.err
+    assert result.status is ExitStatus.UNAVAILABLE
+    assert 'the table service does not answer' in result.err
+    assert 'try again in' in result.err
     again = site.tool('apply', '-f', '-', '--wait', stdin=job)
     assert 'Job desk/outage: completed' in again.out
 
 
-def test_the_time_line_is_followed(site: Site) -> None:
+def test_timeline_is_followed(site: Site) -> None:
     out = io.StringIO()
     options = argparse.Namespace(output='jsonl')
     env = Environment(stdout=out)
@@ -81,17 +81,19 @@
     assert kinds == ['accepted', 'placed', 'running', 'completed']
 
 
-def test_signals_and_a_taken_port(tmp_path: pathlib.Path) -> None:
-    """A reload or a taken port is not told with the field to change."""
+def test_signals_and_an_occupied_port(tmp_path: pathlib.Path) -> None:
+    """The log of a reload and the error of an occupied port name the field."""
     zones = make_zones(('a',), 1, 1, Room(4.0, 1024, 0))
     with Deployment(PlatformOptions(zones)) as deployment:
         process = deployment.start_daemon('one', 'a')
         path = deployment.get_settings_path('one')
         value = json.loads(path.read_text('utf-8'))
-        taken = ListenSettings(operators=process.addresses['operators'])
+        occupied = ListenSettings(operators=process.addresses['operators'])
         other = tmp_path / 'two.json'
         other.write_text(
-            json.dumps({**value, 'name': 'two', 'listen': unstructure(taken)})
+            json.dumps(
+                {**value, 'name': 'two', 'listen': unstructure(occupied)}
+            )
         )
         ended = subprocess.run(
             [
@@ -104,15 +106,17 @@
             check=False,
         )
         assert ended.returncode == ExitStatus.INVALID
-        assert f'listen.operators: {taken.operators} cannot be' in ended.stderr
+        assert (
+            f'listen.operators: {occupied.operators} cannot be' in ended.stderr
+        )
         path.write_text(
             json.dumps({**value, 'log_level': 'debug', 'entry_hosts': 3})
         )
         process.send(signal.SIGHUP)
         host, _, port = process.addresses['operators'].partition(':')
-        with socket.create_connection((host, int(port)), 5) as link:
-            link.sendall(b'GET /healthz HTTP/1.0\r\n\r\n')
-            assert b' 200 ' in link.recv(100)
+        with socket.create_connection((host, int(port)), 5) as connection:
+            connection.sendall(b'GET /healthz HTTP/1.0\r\n\r\n')
+            assert b' 200 ' in connection.recv(100)
         assert process.stop() == ExitStatus.OK
         log = deployment.read_log('one')
     assert 'Settings read; in force: log_level.' in log
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -34,7 +34,7 @@
 
 @contextlib.contextmanager
 def open_listener(site: Site, **limits: Any) -> Iterator[tuple[str, int]]:
-    """Serves the resource API once more, with other limits."""
+    """Serves the resource API on one more listener, with other limits."""
     stack = contextlib.AsyncExitStack()
     bound = bind(f'{LOOPBACK}:0', 'listen.operators')
     app = site.daemons[0].apps['operators']
@@ -61,11 +61,11 @@
         site.run(stack.aclose())
 
 
-def test_a_taken_port_is_told() -> None:
-    with socket.socket() as taken:
-        taken.bind((LOOPBACK, 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+def test_error_for_occupied_port_names_field_and_fix() -> None:
+    with socket.socket() as occupied:
+        occupied.bind((LOOPBACK, 0))
+        occupied.listen()
+        port = occupied.getsockname()[1]
         with pytest.raises(SettingsError) as caught:
             bind(f'{LOOPBACK}:{port}', 'listen.callers')
     text = str(caught.value)
@@ -73,36 +73,36 @@
     assert 'choose another address' in text
 
 
-def test_a_connection_too_many_is_closed(site: Site) -> None:
-    ask = b'GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n'
+def test_connection_beyond_limit_is_closed(site: Site) -> None:
+    request = b'GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n'
     with open_listener(site, connections=2) as address:
-        links = [socket.create_connection(address, 5) for _ in range(2)]
-        for link in links:
-            link.sendall(ask)
-            assert link.recv(15).startswith(b'HTTP/1.1 200')
+        connections = [socket.create_connection(address, 5) for _ in range(2)]
+        for connection in connections:
+            connection.sendall(request)
+            assert connection.recv(15).startswith(b'HTTP/1.1 200')
         with (
             socket.create_connection(address, 5) as third,
             contextlib.suppress(ConnectionError),
         ):
-            third.sendall(ask)
+            third.sendall(request)
             assert third.recv(100) == b''
-        for link in links:
-            link.close()
+        for connection in connections:
+            connection.close()
 
 
-def test_a_huge_header_is_refused(site: Site) -> None:
+def test_header_beyond_limit_is_refused(site: Site) -> None:
     with (
         open_listener(site, header_kb=1) as address,
-        socket.create_connection(address, 5) as link,
+        socket.create_connection(address, 5) as connection,
     ):
-        link.sendall(b'GET /healthz HTTP/1.1\r\nX: ' + b'x' * 4096)
+        connection.sendall(b'GET /healthz HTTP/1.1\r\nX: ' + b'x' * 4096)
         with contextlib.suppress(ConnectionError):
-            assert b'200' not in link.recv(100)
+            assert b'200' not in connection.recv(100)
 
 
 @attrs.frozen
 class Authority:
-    """An authority, and files of certificates that it signed."""
+    """A certificate authority, and the folder of its certificates."""
 
     authority: trustme.CA
     folder: pathlib.Path
@@ -131,7 +131,7 @@
 
 @pytest.fixture
 def own_site() -> Iterator[Site]:
-    """A deployment of its own, whose daemons may fail to reach each other."""
+    """A separate deployment, whose daemons may fail to reach each other."""
     with Site() as opened:
         yield opened
 
@@ -139,7 +139,7 @@
 def test_daemons_and_operators_over_tls(
     own_site: Site, authority: Authority
 ) -> None:
-    """A client without a certificate, or with an old TLS, got a connection."""
+    """Clients without a certificate or with TLS 1.2 must not be served."""
     tls = authority.issue('one')
     open_to_all = attrs.evolve(tls, authority='')
     listeners = ListenerTlsSettings(open_to_all, open_to_all, open_to_all, tls)
@@ -150,12 +150,12 @@
         )
         return await stack.enter_async_context(Daemon(settings))
 
-    async def see(daemon: Daemon, name: str) -> None:
+    async def wait_until_up(daemon: Daemon, name: str) -> None:
         async with asyncio.timeout(10):
             while not daemon.membership.is_up(name):
                 await asyncio.sleep(0.02)
 
-    async def know(daemon: Daemon, *names: str) -> None:
+    async def wait_until_known(daemon: Daemon, *names: str) -> None:
         async with asyncio.timeout(10):
             while not set(names) <= {
                 member.name for member in daemon.membership.list_known()
@@ -166,44 +166,46 @@
     first = own_site.run(start('tls-0', ()))
     second = own_site.run(start('tls-1', (first.addresses['peers'],)))
     try:
-        own_site.run(see(first, 'tls-1'))
-        own_site.run(see(second, 'tls-0'))
-        own_site.run(know(first, 'entry-0', 'entry-1'))
+        own_site.run(wait_until_up(first, 'tls-1'))
+        own_site.run(wait_until_up(second, 'tls-0'))
+        own_site.run(wait_until_known(first, 'entry-0', 'entry-1'))
         server = f'https://{first.addresses["operators"]}'
         args = ('--server', server, '--token', 'admin', 'status')
-        # The plain daemons are known from the table, and cannot be asked.
-        silent = re.compile(r'^entry-[01] .* no .*does not answer', re.M)
+        # Daemons without TLS are known from the table but cannot be called.
+        unreachable = re.compile(r'^entry-[01] .* no .*does not answer', re.M)
         until = time.monotonic() + 10
         while time.monotonic() < until:
-            told = run_tool('--authority', tls.authority, *args)
-            if len(silent.findall(told.out)) == 2:
+            result = run_tool('--authority', tls.authority, *args)
+            if len(unreachable.findall(result.out)) == 2:
                 break
-        assert len(silent.findall(told.out)) == 2, told
-        assert 'tls-1' in told.out
-        assert told.status == 7
+        assert len(unreachable.findall(result.out)) == 2, result
+        assert 'tls-1' in result.out
+        assert result.status == 7
         assert run_tool(*args).status == 7
         host, _, port = first.addresses['peers'].partition(':')
-        stranger = ssl.create_default_context(cafile=tls.authority)
-        # With TLS 1.3 the client learns of its refusal after the handshake. A
-        # server that let it in would send its HTTP/2 settings at once.
+        client_context = ssl.create_default_context(cafile=tls.authority)
+        # With TLS 1.3 the client is refused only after the handshake. A server
+        # that accepted it would send its HTTP/2 settings at once.
         with (
             contextlib.suppress(OSError),
-            socket.create_connection((host, int(port)), 5) as link,
-            stranger.wrap_socket(link, server_hostname=host) as secured,
+            socket.create_connection((host, int(port)), 5) as connection,
+            client_context.wrap_socket(
+                connection, server_hostname=host
+            ) as secured,
         ):
             assert secured.recv(100) == b''
         host, _, port = first.addresses['operators'].partition(':')
-        stranger.maximum_version = ssl.TLSVersion.TLSv1_2
+        client_context.maximum_version = ssl.TLSVersion.TLSv1_2
         with (
             pytest.raises(ssl.SSLError),
-            socket.create_connection((host, int(port)), 5) as link,
+            socket.create_connection((host, int(port)), 5) as connection,
         ):
-            stranger.wrap_socket(link, server_hostname=host)
+            client_context.wrap_socket(connection, server_hostname=host)
     finally:
         own_site.run(stack.aclose())
 
 
-def test_a_renewed_certificate_is_taken(
+def test_renewed_certificate_is_loaded(
     site: Site, authority: Authority
 ) -> None:
     tls = authority.issue('one')
@@ -220,7 +222,7 @@
     assert str(caught.value).startswith('tls.peers: cannot be used')
 
 
-def test_plain_http_to_a_tls_listener_gets_nothing(
+def test_plain_http_to_tls_listener_gets_no_answer(
     site: Site, authority: Authority
 ) -> None:
     tls = attrs.evolve(authority.issue('one'), authority='')
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line: every daemon's events, in one order."""
+"""The timeline: the events of all daemons, in one order."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class FakeDaemons:
-    """Other daemons: their logs, and None for one that is cut off."""
+    """Event logs of other daemons; None for one that is unreachable."""
 
     logs: dict[str, EventLog | None]
 
@@ -45,8 +45,8 @@
     return EventLog(name, clock), clock
 
 
-def test_events_are_merged_by_their_stamps_and_the_silent_are_named() -> None:
-    """A clock that is behind put events out of order."""
+def test_events_are_merged_by_stamp_and_unreachable_daemons_listed() -> None:
+    """Events must stay in order when a daemon's clock is behind."""
 
     async def check() -> None:
         a, _ = make_log('a', 1005.0)
@@ -87,7 +87,7 @@
     assert len(find(limit=0)) == 3
 
 
-def test_a_team_sees_neither_others_nor_the_platform() -> None:
+def test_team_sees_only_its_own_events() -> None:
     log, _ = make_log('a', 1000.0)
     for resource in ('Job/desk/x/0', 'Job/rival/x/0', 'desk/0', ''):
         log.record('x', EventKind.PLACED, resource)
@@ -97,7 +97,7 @@
     assert len(list(keep_visible(log.select(), None))) == 4
 
 
-def test_the_ring_is_bounded_and_keeps_the_newest() -> None:
+def test_event_log_keeps_only_the_newest_events() -> None:
     log = EventLog('a', ManualClock(), size=3)
     for number in range(5):
         log.record('x', EventKind.PLACED, cause=str(number))
@@ -110,9 +110,9 @@
 ) -> None:
     site.tool('apply', '-f', '-', '--wait', stdin=json.dumps(make_job('trace')))
     path = tmp_path / 'trace.json'
-    told = site.tool('timeline', '--export', str(path))
-    assert told.status == 0
-    assert told.err == ''
+    result = site.tool('timeline', '--export', str(path))
+    assert result.status == 0
+    assert result.err == ''
     trace = json.loads(path.read_text('utf-8'))
     entries = trace['traceEvents']
     names = {
@@ -154,7 +154,7 @@
     assert '--since: is neither an age nor a time' in wrong.err
 
 
-def test_a_request_that_went_wrong_is_found_by_its_id(site: Site) -> None:
+def test_failed_request_is_found_by_its_id(site: Site) -> None:
     site.send(
         *('GET', '/call/desk/airtime/x'),
         listener='callers',
