--- a/lentilmount/daemon/__main__.py
+++ b/lentilmount/daemon/__main__.py
@@ -66,9 +66,9 @@
     def set_level(new: Settings) -> None:
         set_log_level(handler, new.log_level)
 
-    def set_time(name: str) -> ApplySetting:
+    def set_duration(name: str) -> ApplySetting:
         def change(new: Settings) -> None:
-            daemon.set_time(name, getattr(new.times, name))
+            daemon.set_duration(name, getattr(new.times, name))
 
         return change
 
@@ -76,7 +76,9 @@
         'access': set_access,
         'log_level': set_level,
     }
-    changes |= {f'times.{name}': set_time(name) for name in RELOADABLE_TIMES}
+    changes |= {
+        f'times.{name}': set_duration(name) for name in RELOADABLE_TIMES
+    }
     return Reloader(
         daemon.settings, read, changes, daemon.security.reload_certificates
     )
--- a/lentilmount/daemon/api.py
+++ b/lentilmount/daemon/api.py
@@ -30,10 +30,10 @@
     def find_fault(self) -> str:
         """Returns why the daemon is not ready; empty if it is ready."""
 
-    async def announce(self, submitted: Submitted) -> None:
+    async def notify_owner(self, submitted: Submitted) -> None:
         """Notifies the owner of a slice of a new entry in its inbox."""
 
-    async def reach(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Waits, with a timeout, until a revision is in force here."""
 
 
--- a/lentilmount/daemon/bodies.py
+++ b/lentilmount/daemon/bodies.py
@@ -21,9 +21,9 @@
     before a body is read, and a body for which too little is left is refused.
 
     Attributes:
-      largest: Maximum size of one body, in bytes.
-      most_held: Maximum total of the reservations, in bytes.
-      held: Total of the current reservations, in bytes.
+      max_body_bytes: Maximum size of one body, in bytes.
+      max_total_bytes: Maximum total of the reservations, in bytes.
+      reserved_bytes: Total of the current reservations, in bytes.
     """
 
     max_body_bytes: int = 4 * 1024 * 1024
--- a/lentilmount/daemon/follower.py
+++ b/lentilmount/daemon/follower.py
@@ -138,7 +138,7 @@
             self._wake.clear()
             await self._try_poll()
             self._announce_changes()
-            await wait_with_timeout(self._wake, self._get_pause())
+            await wait_with_timeout(self._wake, self._choose_pause())
 
     async def _follow_peers(self) -> None:
         while True:
@@ -153,7 +153,7 @@
             self._announced = report
             self._announce()
 
-    def _get_pause(self) -> float:
+    def _choose_pause(self) -> float:
         return self._poll_seconds * random.uniform(*JITTER)
 
     async def _try_poll(self) -> None:
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -50,7 +50,7 @@
     zone: str = ''
     origins: dict[str, str] = attrs.Factory(dict)
 
-    def list_reports_for(self, zone: str) -> set[str]:
+    def list_slices_for(self, zone: str) -> set[str]:
         """Returns the slices to report to a daemon in a zone.
 
         Sequence numbers reported from that zone are left out, since all
@@ -129,8 +129,8 @@
 
     def record_beats(self, known: Iterable[Member | MemberUpdate]) -> None:
         """Records the beats that the other end has sent."""
-        for one in known:
-            self.beats[one.id] = max(one.beat, self.beats.get(one.id, 0))
+        for entry in known:
+            self.beats[entry.id] = max(entry.beat, self.beats.get(entry.id, 0))
 
     def select_members(
         self, up: list[Member], needs_beats: Callable[[Member], bool]
@@ -148,20 +148,20 @@
         for gone in self.beats.keys() - present.keys():
             del self.beats[gone]
         new: list[Member] = []
-        old: list[Member] = []
-        for number, member in present.items():
-            known = self.beats.get(number, -1)
-            if number == self.peer or known >= member.beat - MAX_BEAT_LAG:
+        updated: list[Member] = []
+        for member_id, member in present.items():
+            known = self.beats.get(member_id, -1)
+            if member_id == self.peer or known >= member.beat - MAX_BEAT_LAG:
                 continue
-            if number not in self.ids:
+            if member_id not in self.ids:
                 new.append(member)
             elif needs_beats(member):
-                old.append(member)
+                updated.append(member)
             else:
                 continue
-            self.ids.add(number)
-            self.beats[number] = member.beat
-        return new, old
+            self.ids.add(member_id)
+            self.beats[member_id] = member.beat
+        return new, updated
 
 
 def _select_changed(
@@ -248,10 +248,10 @@
             return foreign or member.id in state.missing
 
         up = self._membership.list_alive()
-        new, old = state.select_members(up, needs_beats)
+        new, updated = state.select_members(up, needs_beats)
         message.members.extend(write_member(member) for member in new)
-        message.beats.extend(_write_beat(member) for member in old)
-        names = report.list_reports_for(state.zone)
+        message.beats.extend(_write_beat(member) for member in updated)
+        names = report.list_slices_for(state.zone)
         sequences = _select(report.sequences, names)
         services = _select(report.services, names)
         message.sequences.update(_select_changed(state.sequences, sequences))
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -237,11 +237,11 @@
             ),
         ]
 
-    async def announce(self, submitted: Submitted) -> None:
+    async def notify_owner(self, submitted: Submitted) -> None:
         """See `StatusSource`."""
         await self._control.wake_owner(submitted.slice_name)
 
-    async def reach(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """See `StatusSource`."""
         self.configuration.note(revision)
         self._control.follower.wake()
@@ -275,7 +275,7 @@
             )
         return ''
 
-    def set_time(self, name: str, seconds: float) -> None:
+    def set_duration(self, name: str, seconds: float) -> None:
         """Changes one of the durations that may change without a restart."""
         times = attrs.evolve(self.settings.times, **{name: seconds})
         self.settings = attrs.evolve(self.settings, times=times)
--- a/lentilmount/daemon/listeners.py
+++ b/lentilmount/daemon/listeners.py
@@ -33,7 +33,7 @@
     """An HTTP server with a bounded number of connections.
 
     Attributes:
-      most: Maximum number of open connections.
+      max_connections: Maximum number of open connections.
     """
 
     max_connections = 0
--- a/lentilmount/daemon/operators.py
+++ b/lentilmount/daemon/operators.py
@@ -130,7 +130,7 @@
 
     async def _submit(self, grant: Grant, resource: Resource) -> None:
         submitted = await self.api.jobs.submit(resource)
-        await self.api.status.announce(submitted)
+        await self.api.status.notify_owner(submitted)
         _log_change(grant, 'submitted', resource.path, submitted.changed)
         answer = {
             'resource': submitted.resource,
@@ -143,7 +143,7 @@
             resource, make_command_id(self, grant)
         )
         _log_change(grant, 'applied', resource.path, accepted.changed)
-        await self.api.status.reach(accepted.revision)
+        await self.api.status.wait_for_revision(accepted.revision)
         self.reply(unstructure(accepted), 201 if accepted.changed else 200)
 
 
@@ -196,7 +196,7 @@
             make_command_id(self, grant),
         )
         _log_change(grant, 'deleted', path, changed=True)
-        await self.api.status.reach(accepted.revision)
+        await self.api.status.wait_for_revision(accepted.revision)
         self.reply(accepted)
 
 
@@ -211,7 +211,7 @@
         path = resources.make_path(Kind.JOB, team, name)
         _log_change(grant, 'cancelled', path, submitted.changed)
         if submitted.changed:
-            await self.api.status.announce(submitted)
+            await self.api.status.notify_owner(submitted)
         answer = {
             'resource': submitted.resource,
             'changed': submitted.changed,
--- a/lentilmount/daemon/registry.py
+++ b/lentilmount/daemon/registry.py
@@ -32,10 +32,10 @@
 
 MEMBERS = 'member'
 JITTER = (0.75, 1.25)
-REFRESH_ROUNDS = 3
+REFRESH_POLLS = 3
 """A daemon rewrites its row once in this many polls."""
 
-STALE_ROUNDS = 12
+STALE_POLLS = 12
 """Polls without a change of a row after which it is deleted."""
 
 
@@ -44,7 +44,7 @@
     """Number of polls since a row last changed."""
 
     version: int
-    rounds: int = 0
+    unchanged_polls: int = 0
 
 
 class Registry:
@@ -75,7 +75,7 @@
         self._monotonic = monotonic
         self._version = ABSENT
         self._is_registered = False
-        self._rounds = 0
+        self._poll_count = 0
         self._row_ages: dict[str, _RowAge] = {}
 
     async def run(self) -> None:
@@ -103,7 +103,7 @@
         }
         await self._update_own_row(rows.get(self._membership.local_member.name))
         self._membership.add_listed(Member(**r.body) for r in rows.values())
-        self._rounds += 1
+        self._poll_count += 1
         for row in rows.values():
             await self._prune(row)
 
@@ -135,7 +135,7 @@
         if duplicate is not None:
             # The row is still this daemon's, so the duplicate started earlier.
             self._membership.raise_incarnation_above(duplicate.incarnation)
-        if row is None or duplicate or self._rounds % REFRESH_ROUNDS == 0:
+        if row is None or duplicate or self._poll_count % REFRESH_POLLS == 0:
             await self._write(self._version if row else ABSENT)
 
     async def _write(self, version: int) -> None:
@@ -156,12 +156,12 @@
         if row_age is None or row_age.version != row.version:
             self._row_ages[name] = _RowAge(row.version)
             return
-        row_age.rounds += 1
+        row_age.unchanged_polls += 1
         if name == self._membership.local_member.name or self._membership.is_up(
             name
         ):
             return
-        if row_age.rounds >= STALE_ROUNDS:
+        if row_age.unchanged_polls >= STALE_POLLS:
             del self._row_ages[name]
             await self._delete(row)
 
--- a/lentilmount/daemon/web.py
+++ b/lentilmount/daemon/web.py
@@ -57,7 +57,7 @@
         self._grant: Grant | None = None
         self._chunks: list[bytes] = []
         self._content_length = 0
-        self._reserved = 0
+        self._reserved_bytes = 0
 
     def prepare(self) -> None:
         """Sets the request id, and checks access before the body is read.
@@ -80,11 +80,11 @@
             self.admit()
         # A body of unknown length may reach the maximum size.
         is_chunked = 'Transfer-Encoding' in self.request.headers
-        reserved = (
+        reserved_bytes = (
             self._limits.max_body_bytes if is_chunked else self._content_length
         )
-        self._limits.reserve(reserved)
-        self._reserved = reserved
+        self._limits.reserve(reserved_bytes)
+        self._reserved_bytes = reserved_bytes
 
     def _read_request_id(self) -> str:
         given = self.request.headers.get(REQUEST_ID_HEADER, '')
@@ -116,8 +116,8 @@
         self._release()
 
     def _release(self) -> None:
-        self._limits.release(self._reserved)
-        self._reserved = 0
+        self._limits.release(self._reserved_bytes)
+        self._reserved_bytes = 0
 
     def admit(self) -> Grant:
         """Checks the request's token and returns what it allows."""
