--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -90,7 +90,7 @@
         usable = [
             t
             for t in targets
-            if t.own_in_flight < min(t.fair_share, t.share)
+            if t.own_in_flight < min(t.fair_share, t.max_connections)
             and t.health.state is not State.EJECTED
             and t.upstream.task not in tried
         ]
--- a/lentilmount/coordination/leases.py
+++ b/lentilmount/coordination/leases.py
@@ -85,7 +85,7 @@
       renewed_at: Monotonic time before the last write that renewed it.
       valid_until: Monotonic time up to which nobody else can have taken it.
       data: What else the row carries.
-      unknown: The last write, as long as its fate is not known.
+      unconfirmed: The last write, as long as its fate is not known.
     """
 
     key: Key
@@ -95,7 +95,7 @@
     renewed_at: float
     valid_until: float
     data: dict[str, Any]
-    unknown: Renewal | None = None
+    unconfirmed: Renewal | None = None
 
     def make_put(self) -> Put:
         """Returns the write that renews the lease; put it in a transaction."""
@@ -133,8 +133,8 @@
         self._duration = duration
         self._monotonic = monotonic
         self._has_ended = has_ended
-        self._seen: dict[Key, tuple[int, float]] = {}
-        self._renewed: set[Key] = set()
+        self._observed: dict[Key, tuple[int, float]] = {}
+        self._with_observed_writes: set[Key] = set()
 
     async def try_acquire(
         self, key: Key, update_data: UpdateData = copy_data, delay: float = 0.0
@@ -163,8 +163,8 @@
             # While the table was away nobody could renew. Without this the
             # holder would seem lapsed when it comes back, and lose its lease
             # to whoever happens to be answered first.
-            self._seen.pop(key, None)
-            self._renewed.discard(key)
+            self._observed.pop(key, None)
+            self._with_observed_writes.discard(key)
             raise
         return await self.try_take(key, rows.get(key), update_data, delay)
 
@@ -197,7 +197,7 @@
         now = self._monotonic()
         if row is None:
             return LeaseRecord({}, '', 0, now)
-        version, seen_at = self._seen.get(key, (ABSENT, now))
+        version, seen_at = self._observed.get(key, (ABSENT, now))
         return LeaseRecord(
             row.body['data'],
             row.body['holder'],
@@ -212,30 +212,30 @@
         no failed reading since; if not, the holder may have acted on without
         the table.
         """
-        return key in self._renewed
+        return key in self._with_observed_writes
 
     def _is_free(self, key: Key, row: Row | None, delay: float) -> bool:
         holder = row.body['holder'] if row is not None else ''
         if row is not None and holder in ('', self._holder):
-            self._renewed.add(key)
+            self._with_observed_writes.add(key)
         is_ours = holder in ('', self._holder) or self._has_ended(holder)
         if is_ours and not delay:
             return True
         wait = delay
         if holder:
             wait += self._duration * (1 + CLOCK_DRIFT)
-        return self._measure_rest(key, row) > wait
+        return self._measure_unchanged_seconds(key, row) > wait
 
-    def _measure_rest(self, key: Key, row: Row | None) -> float:
+    def _measure_unchanged_seconds(self, key: Key, row: Row | None) -> float:
         """Returns for how long a lease's row was seen unchanged, in seconds."""
         now = self._monotonic()
         version = ABSENT if row is None else row.version
-        known = self._seen.get(key)
+        known = self._observed.get(key)
         if known is not None and known[0] == version:
             return now - known[1]
         if known is not None:
-            self._renewed.add(key)
-        self._seen[key] = (version, now)
+            self._with_observed_writes.add(key)
+        self._observed[key] = (version, now)
         return 0.0
 
     async def renew(
@@ -257,10 +257,10 @@
         # than those do who saw the first write.
         # And it has to be the same write, whatever became of the data since.
         token = token or make_token()
-        renewal = lease.unknown
+        renewal = lease.unconfirmed
         if renewal is None or renewal.token != token:
             renewal = Renewal(token, self._monotonic(), lease.make_put())
-        lease.unknown = renewal
+        lease.unconfirmed = renewal
         try:
             version = await commit(
                 self._table,
@@ -272,7 +272,7 @@
             if lease.key in error.keys:
                 raise LeaseLostError(str(lease.key)) from error
             raise
-        lease.unknown = None
+        lease.unconfirmed = None
         lease.version = version
         lease.renewed_at = renewal.sent_at
         lease.valid_until = renewal.sent_at + self._duration
--- a/lentilmount/coordination/membership.py
+++ b/lentilmount/coordination/membership.py
@@ -17,10 +17,10 @@
 import attrs
 import xxhash
 
-FAR_FACTOR = 2.0
+REMOTE_ZONE_FACTOR = 2.0
 """Factor on the silence for other zones, whose beats come by more hops."""
 
-MISSING_SHARE = 0.4
+DIRECT_SILENCE_SHARE = 0.4
 """Share of the silence after which a member of the zone that is not heard
 straight is asked of others: early enough for their answer to come in time."""
 
@@ -118,10 +118,10 @@
         self._monotonic = monotonic
         self._members: dict[str, Member] = {}
         self._names: dict[int, str] = {}
-        self._heard: dict[str, float] = {}
-        self._noted: dict[str, float] = {}
-        self._straight: dict[str, float] = {}
-        self._via: dict[str, str] = {}
+        self._heard_at: dict[str, float] = {}
+        self._updated_at: dict[str, float] = {}
+        self._heard_directly_at: dict[str, float] = {}
+        self._source_zones: dict[str, str] = {}
         self._ages: collections.OrderedDict[str, tuple[int, int]] = (
             collections.OrderedDict()
         )
@@ -156,22 +156,24 @@
     def observe_direct(self, member: Member) -> None:
         """Takes in what a member says of itself, straight."""
         self.observe([member], member.zone)
-        self._straight[member.name] = self._monotonic()
+        self._heard_directly_at[member.name] = self._monotonic()
 
-    def observe(self, members: Iterable[Member], via: str = '') -> None:
+    def observe(self, members: Iterable[Member], source_zone: str = '') -> None:
         """Takes in what is said of members.
 
         Args:
           members: The members.
-          via: Availability zone of who said it.
+          source_zone: Availability zone of who said it.
         """
         for member in members:
-            if self._is_news(member):
+            if self._is_newer(member):
                 self._set(member)
-                self._via[member.name] = via
-                self._hear(member.name)
+                self._source_zones[member.name] = source_zone
+                self._mark_heard(member.name)
 
-    def advance(self, beats: Iterable[MemberUpdate], via: str = '') -> None:
+    def advance(
+        self, beats: Iterable[MemberUpdate], source_zone: str = ''
+    ) -> None:
         """Takes in newer beats of members that are known; see `observe`."""
         for beat in beats:
             known = self._members.get(self._names.get(beat.id, ''))
@@ -183,7 +185,7 @@
                 stopping=beat.stopping,
                 eligible=beat.eligible,
             )
-            self.observe([member], via)
+            self.observe([member], source_zone)
 
     def add_listed(self, members: Iterable[Member]) -> None:
         """Takes in names from a list; it says nothing of who is up."""
@@ -193,18 +195,18 @@
             newer = member.incarnation > known[0]
             current = forgotten and member.incarnation == known[0]
             if member.name == self.local_member.name:
-                self._note_rival(member)
+                self._check_name_conflict(member)
             elif newer or current:
                 self._set(member)
 
-    def _is_news(self, member: Member) -> bool:
+    def _is_newer(self, member: Member) -> bool:
         if member.name == self.local_member.name:
-            self._note_rival(member)
+            self._check_name_conflict(member)
             return False
         known = self._ages.get(member.name)
         return known is None or member.age > known
 
-    def _note_rival(self, member: Member) -> None:
+    def _check_name_conflict(self, member: Member) -> None:
         other = member.address != self.local_member.address
         if other and member.incarnation >= self.local_member.incarnation:
             self.name_conflict = member
@@ -213,17 +215,17 @@
         old = self._members.get(member.name)
         if old is not None and old.id != member.id:
             del self._names[old.id]
-            self._heard.pop(member.name, None)
+            self._heard_at.pop(member.name, None)
         self._members[member.name] = member
         self._names[member.id] = member.name
-        self._noted[member.name] = self._monotonic()
+        self._updated_at[member.name] = self._monotonic()
         known = self._ages.pop(member.name, (-1, 0))
         self._ages[member.name] = max(member.age, known)
         while len(self._ages) > MAX_REMEMBERED:
             self._ages.popitem(last=False)
 
-    def _hear(self, name: str) -> None:
-        self._heard[name] = self._monotonic()
+    def _mark_heard(self, name: str) -> None:
+        self._heard_at[name] = self._monotonic()
         address = self._members[name].address
         for other in self.list_known():
             taken = other.address == address and other.name != name
@@ -233,15 +235,19 @@
     def _remove(self, member: Member) -> None:
         del self._members[member.name]
         del self._names[member.id]
-        for known in (self._heard, self._noted, self._straight):
+        for known in (
+            self._heard_at,
+            self._updated_at,
+            self._heard_directly_at,
+        ):
             known.pop(member.name, None)
-        self._via.pop(member.name, None)
+        self._source_zones.pop(member.name, None)
 
     def forget(self) -> None:
         """Drops members of which nothing was heard for long."""
         horizon = self._monotonic() - self._forget
         for member in self.list_known():
-            if self._noted[member.name] < horizon:
+            if self._updated_at[member.name] < horizon:
                 self._remove(member)
 
     def compensate_pause(self, seconds: float) -> None:
@@ -251,7 +257,11 @@
         every other for down when it wakes, and itself for the only one.
         """
         now = self._monotonic()
-        for times in (self._heard, self._noted, self._straight):
+        for times in (
+            self._heard_at,
+            self._updated_at,
+            self._heard_directly_at,
+        ):
             for name, heard in times.items():
                 times[name] = min(now, heard + seconds)
 
@@ -263,37 +273,37 @@
         """Tells whether a member was heard of lately."""
         if name == self.local_member.name:
             return True
-        heard = self._heard.get(name)
+        heard = self._heard_at.get(name)
         if heard is None:
             return False
         near = self._members[name].zone == self.local_member.zone
-        silence = self._timeout * (1.0 if near else FAR_FACTOR)
+        silence = self._timeout * (1.0 if near else REMOTE_ZONE_FACTOR)
         return self._monotonic() - heard <= silence
 
     def list_alive(self) -> list[Member]:
         """Returns the other members that are up, those that stop as well."""
         now, zone = self._monotonic(), self.local_member.zone
         near = now - self._timeout
-        far = now - self._timeout * FAR_FACTOR
+        far = now - self._timeout * REMOTE_ZONE_FACTOR
         return [
             self._members[name]
-            for name, heard in self._heard.items()
+            for name, heard in self._heard_at.items()
             if heard >= (near if self._members[name].zone == zone else far)
         ]
 
     def list_not_heard_directly(self) -> list[Member]:
         """Returns the members of this zone that are not heard straight."""
-        horizon = self._monotonic() - self._timeout * MISSING_SHARE
+        horizon = self._monotonic() - self._timeout * DIRECT_SILENCE_SHARE
         return [
             member
             for name, member in self._members.items()
             if member.zone == self.local_member.zone
-            and self._straight.get(name, horizon - 1.0) < horizon
+            and self._heard_directly_at.get(name, horizon - 1.0) < horizon
         ]
 
     def get_source_zone(self, name: str) -> str:
         """Returns the zone from which a member's newest beat came."""
-        return self._via.get(name, '')
+        return self._source_zones.get(name, '')
 
     def list_active(self, zone: str = '') -> list[Member]:
         """Returns members that are up and staying, this one included."""
--- a/lentilmount/coordination/mesh.py
+++ b/lentilmount/coordination/mesh.py
@@ -33,20 +33,20 @@
     known = membership.list_known()
     partners = [member for member in known if member.zone == me.zone]
     for zone in sorted({m.zone for m in known} - {me.zone}):
-        there = [member for member in known if member.zone == zone]
-        partners += _choose_far(membership, there, links)
+        remote_members = [member for member in known if member.zone == zone]
+        partners += _choose_remote(membership, remote_members, links)
     return partners
 
 
-def _choose_far(
-    membership: Membership, there: Sequence[Member], links: int
+def _choose_remote(
+    membership: Membership, remote_members: Sequence[Member], links: int
 ) -> list[Member]:
     me = membership.local_member
-    up = [member for member in there if membership.is_up(member.name)]
+    up = [member for member in remote_members if membership.is_up(member.name)]
     if not up:
         # A zone of which nothing is heard may be cut off; whichever of its
         # members answers first brings the others.
-        return list(there)
+        return list(remote_members)
     key = '/'.join(sorted((me.zone, up[0].zone)))
     here = [m for m in membership.list_known() if m.zone == me.zone]
     near = [m for m in here if membership.is_up(m.name)]
--- a/lentilmount/coordination/transactions.py
+++ b/lentilmount/coordination/transactions.py
@@ -25,7 +25,7 @@
 async def commit(
     table: Table,
     operations: list[Operation],
-    witness: Key,
+    token_row: Key,
     *,
     token: str = '',
     attempts: int = 4,
@@ -40,8 +40,8 @@
 
     Args:
       table: Where to write.
-      operations: What to write; must put `witness`.
-      witness: A row that no other writer overwrites without checking the
+      operations: What to write; must put `token_row`.
+      token_row: A row that no other writer overwrites without checking the
         same version, so its token says whether this transaction applied.
       token: The transaction's token; a new one if empty.
       attempts: How often to send.
@@ -58,9 +58,9 @@
     for attempt in range(attempts):
         try:
             version = await table.transact(token, operations)
-            return _get_version(operations, witness, version)
+            return _get_version(operations, token_row, version)
         except ConflictError:
-            row = (await table.read([witness])).get(witness)
+            row = (await table.read([token_row])).get(token_row)
             if row is not None and row.token == token:
                 return row.version
             raise
@@ -73,9 +73,9 @@
 
 
 def _get_version(
-    operations: list[Operation], witness: Key, version: int | None
+    operations: list[Operation], token_row: Key, version: int | None
 ) -> int:
     if version is not None:
         return version
-    written = [op.expected for op in operations if op.key == witness]
+    written = [op.expected for op in operations if op.key == token_row]
     return max(written, default=0) + 1
--- a/lentilmount/routing/balance.py
+++ b/lentilmount/routing/balance.py
@@ -15,16 +15,16 @@
 from lentilmount.routing.ejection import State
 from lentilmount.routing.target import Target
 
-PROBES = 6
+MAX_DRAWS = 6
 """Random looks for two open upstreams before all are looked at."""
 
-CLEARLY = 1.25
+SIGNIFICANT_RATIO = 1.25
 """Ratio of two expected times beyond which the lower one decides."""
 
-CLEARLY_SECONDS = 0.001
+SIGNIFICANT_SECONDS = 0.001
 """Difference that counts at least; event loops add as much by chance."""
 
-Names = Collection[str]
+TaskIds = Collection[str]
 
 
 class Balancer(Protocol):
@@ -33,8 +33,8 @@
     def choose(
         self,
         targets: Sequence[Target],
-        tried: Names,
-        unknown: float,
+        tried: TaskIds,
+        default_seconds: float,
         now: float,
     ) -> Target | None:
         """Chooses an upstream that is open; None if there is none.
@@ -42,7 +42,7 @@
         Args:
           targets: The upstreams.
           tried: Tasks that are not to be chosen.
-          unknown: Seconds to expect of an upstream without answers yet.
+          default_seconds: Seconds to expect of an upstream without answers yet.
           now: Monotonic time.
         """
 
@@ -56,28 +56,28 @@
     def choose(
         self,
         targets: Sequence[Target],
-        tried: Names,
-        unknown: float,
+        tried: TaskIds,
+        default_seconds: float,
         now: float,
     ) -> Target | None:
         """See `Balancer`."""
         rng = self._rng.random
         count = len(targets)
         first: Target | None = None
-        for _ in range(PROBES if count > 1 else 0):
+        for _ in range(MAX_DRAWS if count > 1 else 0):
             target = targets[int(rng() * count)]
             if target is first or not self._is_usable(target, tried, now):
                 continue
             if first is not None:
-                return get_better(first, target, unknown, now)
+                return choose_cheaper(first, target, default_seconds, now)
             first = target
         usable = [t for t in targets if self._is_usable(t, tried, now)]
         if len(usable) < 2:
             return usable[0] if usable else None
         one, other = self._rng.sample(usable, 2)
-        return get_better(one, other, unknown, now)
+        return choose_cheaper(one, other, default_seconds, now)
 
-    def _is_usable(self, target: Target, tried: Names, now: float) -> bool:
+    def _is_usable(self, target: Target, tried: TaskIds, now: float) -> bool:
         if not target.is_open() or target.upstream.task in tried:
             return False
         if target.health.state is State.SERVING:
@@ -85,19 +85,19 @@
         return self._rng.random() < target.health.get_traffic_share(now)
 
 
-def get_better(
-    one: Target, other: Target, unknown: float, now: float
+def choose_cheaper(
+    one: Target, other: Target, default_seconds: float, now: float
 ) -> Target:
     """Returns the target with the clearly lower expected time, else load.
 
     Expected times are estimates. If a difference within their error decided,
     an upstream that once was a little slow would not be measured again.
     """
-    one_cost = one.get_cost(unknown, now)
-    other_cost = other.get_cost(unknown, now)
-    if one_cost > other_cost * CLEARLY + CLEARLY_SECONDS:
+    one_cost = one.get_cost(default_seconds, now)
+    other_cost = other.get_cost(default_seconds, now)
+    if one_cost > other_cost * SIGNIFICANT_RATIO + SIGNIFICANT_SECONDS:
         return other
-    if other_cost > one_cost * CLEARLY + CLEARLY_SECONDS:
+    if other_cost > one_cost * SIGNIFICANT_RATIO + SIGNIFICANT_SECONDS:
         return one
     return other if other.get_load() < one.get_load() else one
 
@@ -106,8 +106,8 @@
     balancer: Balancer,
     local: Sequence[Target],
     remote: Sequence[Target],
-    tried: Names,
-    unknown: float,
+    tried: TaskIds,
+    default_seconds: float,
     spill: float,
     now: float,
 ) -> Target | None:
@@ -119,17 +119,20 @@
       remote: Upstreams of the other zones; their measured times hold the
         round trip.
       tried: Tasks that are not to be chosen.
-      unknown: Seconds to expect of an upstream without answers yet.
+      default_seconds: Seconds to expect of an upstream without answers yet.
       spill: Seconds that another zone must win by.
       now: Monotonic time.
     """
-    near = balancer.choose(local, tried, unknown, now)
-    if near is None:
-        return balancer.choose(remote, tried, unknown, now)
-    cost = near.get_cost(unknown, now)
-    if cost <= unknown + spill and near.get_load() <= 1.0:
-        return near
-    far = balancer.choose(remote, tried, unknown, now)
-    if far is None or far.get_cost(unknown, now) + spill >= cost:
-        return near
-    return far
+    local_target = balancer.choose(local, tried, default_seconds, now)
+    if local_target is None:
+        return balancer.choose(remote, tried, default_seconds, now)
+    cost = local_target.get_cost(default_seconds, now)
+    if cost <= default_seconds + spill and local_target.get_load() <= 1.0:
+        return local_target
+    remote_target = balancer.choose(remote, tried, default_seconds, now)
+    if (
+        remote_target is None
+        or remote_target.get_cost(default_seconds, now) + spill >= cost
+    ):
+        return local_target
+    return remote_target
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -25,11 +25,11 @@
 STALL_FACTOR = 2.5
 """Time without any answer, as a multiple of the service's high quantile."""
 
-LEAST_STALL_SECONDS = 0.1
+MIN_STALL_SECONDS = 0.1
 EJECT_SECONDS = 2.0
-MOST_EJECT_SECONDS = 60.0
+MAX_EJECT_SECONDS = 60.0
 RETURN_SECONDS = 5.0
-FIRST_SHARE = 0.05
+INITIAL_SHARE = 0.05
 JITTER = 0.2
 
 
@@ -47,23 +47,23 @@
 
     Attributes:
       state: How it stands.
-      until: Monotonic time when the state ends by itself.
+      state_ends_at: Monotonic time when the state ends by itself.
       failures: Failures in a row.
       ejections: Ejections without a full return in between.
     """
 
     state: State = State.SERVING
-    until: float = 0.0
+    state_ends_at: float = 0.0
     failures: int = 0
     ejections: int = 0
 
     def advance(self, now: float) -> None:
         """Moves on when the time of a state is over."""
-        if self.state is State.SERVING or now < self.until:
+        if self.state is State.SERVING or now < self.state_ends_at:
             return
         if self.state is State.EJECTED:
             self.state = State.RETURNING
-            self.until = now + RETURN_SECONDS
+            self.state_ends_at = now + RETURN_SECONDS
             self.failures = 0
         else:
             self.state = State.SERVING
@@ -75,15 +75,17 @@
             return 1.0
         if self.state is State.EJECTED:
             return 0.0
-        return max(FIRST_SHARE, 1.0 - (self.until - now) / RETURN_SECONDS)
+        return max(
+            INITIAL_SHARE, 1.0 - (self.state_ends_at - now) / RETURN_SECONDS
+        )
 
     def eject(self, now: float, rng: random.Random) -> None:
         """Ejects, for longer each time."""
-        seconds = min(MOST_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
+        seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
         # Daemons that ejected together would also come back together.
         seconds *= rng.uniform(1 - JITTER, 1 + JITTER)
         self.state = State.EJECTED
-        self.until = now + seconds
+        self.state_ends_at = now + seconds
         self.ejections += 1
         self.failures = 0
 
@@ -103,10 +105,10 @@
         """Its state."""
 
     @property
-    def recent(self) -> float:
+    def smoothed_seconds(self) -> float:
         """Smoothed seconds of its answers; 0 where there is none."""
 
-    def get_silence(self, now: float) -> float:
+    def get_stalled_seconds(self, now: float) -> float:
         """Returns the seconds that it has owed an answer."""
 
 
@@ -119,22 +121,22 @@
 
 
 def find_ejection_cause(
-    target: Ejectable, median: float, high: float, now: float
+    target: Ejectable, median: float, high_quantile: float, now: float
 ) -> str:
     """Tells why an upstream should be ejected; '' if it should not.
 
     Args:
       target: The upstream.
       median: Median of the smoothed times of the service's upstreams.
-      high: High quantile of the service's times; 0 if unknown.
+      high_quantile: High quantile of the service's times; 0 if unknown.
       now: Monotonic time.
     """
     if target.health.is_failing:
         return 'it fails'
-    if high:
-        stall = max(LEAST_STALL_SECONDS, high * STALL_FACTOR)
-        if target.get_silence(now) > stall:
+    if high_quantile:
+        stall = max(MIN_STALL_SECONDS, high_quantile * STALL_FACTOR)
+        if target.get_stalled_seconds(now) > stall:
             return 'it does not answer'
-    if median and target.recent > median * SLOW_FACTOR:
+    if median and target.smoothed_seconds > median * SLOW_FACTOR:
         return 'it is slow'
     return ''
--- a/lentilmount/routing/forward.py
+++ b/lentilmount/routing/forward.py
@@ -32,7 +32,7 @@
 DISTRUST_SECONDS = 130.0
 """Longer than libcurl keeps an idle connection (118 s)."""
 
-KEPT_CONNECTIONS = 1024
+MAX_IDLE_CONNECTIONS = 1024
 
 _HOP_BY_HOP = frozenset(
     {
@@ -50,7 +50,7 @@
     }
 )
 
-_OWN_HEADERS = frozenset(
+_REPLACED_HEADERS = frozenset(
     name.lower() for name in (REQUEST_HEADER, SERVICE_HEADER, TIMEOUT_HEADER)
 )
 """Set anew; a second one beside the caller's would garble both."""
@@ -149,15 +149,15 @@
         self,
         url: str,
         lines: list[bytes],
-        fresh: bool,
-        once: bool,
+        fresh_connection: bool,
+        single_use: bool,
         **options: Any,
     ):
         super().__init__(url, prepare_curl_callback=self._prepare, **options)
         self.was_sent = True
         self._lines = lines
-        self._fresh = fresh
-        self._once = once
+        self._fresh_connection = fresh_connection
+        self._single_use = single_use
         self._curl: Any = None
 
     def _prepare(self, curl: Any) -> None:
@@ -167,13 +167,13 @@
         # run the first copy, so a non-idempotent request would run twice. On
         # a fresh connection there is no such second try. It is closed after
         # use, so that such connections do not push out the kept ones.
-        curl.setopt(pycurl.FRESH_CONNECT, self._fresh)
-        curl.setopt(pycurl.FORBID_REUSE, self._once)
+        curl.setopt(pycurl.FRESH_CONNECT, self._fresh_connection)
+        curl.setopt(pycurl.FORBID_REUSE, self._single_use)
         curl.setopt(pycurl.HTTPHEADER, self._lines)
         # libcurl would resolve dots in the path by itself.
         curl.setopt(pycurl.PATH_AS_IS, 1)
 
-    def note_end(self) -> None:
+    def record_sent(self) -> None:
         """Reads what was sent, before the client uses its handle again.
 
         The error is not enough: when a kept-alive connection died after the
@@ -188,12 +188,12 @@
 class _Client(CurlAsyncHTTPClient):
     """The curl client, which also tells whether a failed request was sent."""
 
-    def limit(self, connections: int) -> None:
+    def set_connection_limit(self, connections: int) -> None:
         """Limits the connections to each address, idle ones included."""
         self._multi.setopt(pycurl.M_MAX_HOST_CONNECTIONS, connections)
         # libcurl's default follows the requests in flight and would close
         # most idle connections when traffic is low.
-        self._multi.setopt(pycurl.M_MAXCONNECTS, KEPT_CONNECTIONS)
+        self._multi.setopt(pycurl.M_MAXCONNECTS, MAX_IDLE_CONNECTIONS)
 
     def fetch_impl(
         self, request: HTTPRequest, callback: Callable[[HTTPResponse], None]
@@ -202,7 +202,7 @@
 
         def finish(response: HTTPResponse) -> None:
             if response.error is not None:
-                request.note_end()  # type: ignore[attr-defined]
+                request.record_sent()  # type: ignore[attr-defined]
             callback(response)
 
         super().fetch_impl(request, finish)
@@ -219,13 +219,13 @@
 
     def __init__(self) -> None:
         self._clients: dict[int, _Client] = {}
-        self._naming: set[str] = set()
-        self._distrusted: dict[str, float] = {}
+        self._echoing_addresses: set[str] = set()
+        self._distrusted_until: dict[str, float] = {}
 
     def _get_client(self, connections: int) -> _Client:
         if connections not in self._clients:
             client = _Client(force_instance=True, max_clients=MAX_CLIENTS)
-            client.limit(connections)
+            client.set_connection_limit(connections)
             self._clients[connections] = client
         return self._clients[connections]
 
@@ -237,9 +237,9 @@
         reuse = call.idempotent and self._is_reusable(address, client)
         request = _Request(
             f'http://{address}/{call.path}',
-            _write_headers(call, timeout),
-            fresh=not reuse,
-            once=not call.idempotent,
+            _format_headers(call, timeout),
+            fresh_connection=not reuse,
+            single_use=not call.idempotent,
             method=call.method,
             body=call.body if call.body or call.method != 'GET' else None,
             connect_timeout=min(timeout, CONNECT_SECONDS),
@@ -255,32 +255,32 @@
         except ValueError as error:
             # A path that is not ASCII; found before connecting.
             return Reply(Result.NOT_RUN, error=str(error))
-        return self._read_answer(address, call, client, response)
+        return self._read_response(address, call, client, response)
 
     def _is_reusable(self, address: str, client: _Client) -> bool:
-        until = self._distrusted.get(address)
+        until = self._distrusted_until.get(address)
         if until is not None:
             if client.io_loop.time() < until:
                 return False
-            del self._distrusted[address]
-        return address in self._naming
+            del self._distrusted_until[address]
+        return address in self._echoing_addresses
 
-    def _read_answer(
+    def _read_response(
         self, address: str, call: Call, client: _Client, response: HTTPResponse
     ) -> Reply:
         headers = response.headers
-        named = headers.get(REQUEST_HEADER)
+        echoed_id = headers.get(REQUEST_HEADER)
         leaving = headers.get(LEAVING_HEADER) == 'true'
-        if named is None:
-            self._naming.discard(address)
-        elif named != call.id:
+        if echoed_id is None:
+            self._echoing_addresses.discard(address)
+        elif echoed_id != call.id:
             until = client.io_loop.time() + DISTRUST_SECONDS
-            self._distrusted[address] = until
+            self._distrusted_until[address] = until
             return Reply(
                 Result.UNKNOWN, error='the answer is to another request'
             )
         else:
-            self._naming.add(address)
+            self._echoing_addresses.add(address)
         if headers.get(RAN_HEADER) == 'no':
             return Reply(
                 Result.NOT_RUN,
@@ -289,7 +289,7 @@
                 is_misdirected=response.code == MISDIRECTED,
                 is_leaving=leaving,
             )
-        if not _is_whole(call.method, response):
+        if not _is_complete(call.method, response):
             return Reply(
                 Result.UNKNOWN,
                 error='the answer has no length, so it may be cut short',
@@ -309,14 +309,18 @@
             client.close()
 
 
-def _write_headers(call: Call, timeout: float) -> list[bytes]:
+def _format_headers(call: Call, timeout: float) -> list[bytes]:
     """Writes header lines as libcurl takes them.
 
     They go to libcurl as they are: the client would parse and check each of
     them again, and they come from a server that already did.
     """
     pairs = [
-        *((n, v) for n, v in call.headers if n.lower() not in _OWN_HEADERS),
+        *(
+            (n, v)
+            for n, v in call.headers
+            if n.lower() not in _REPLACED_HEADERS
+        ),
         (REQUEST_HEADER, call.id),
         (SERVICE_HEADER, call.service),
         (TIMEOUT_HEADER, str(max(1, int(timeout * 1000)))),
@@ -328,7 +332,7 @@
     return [line.encode('latin-1') for line in lines]
 
 
-def _is_whole(method: str, response: HTTPResponse) -> bool:
+def _is_complete(method: str, response: HTTPResponse) -> bool:
     """Tells whether a cut would have been noticed.
 
     An answer that ends with its connection looks the same when the upstream
--- a/lentilmount/routing/latency.py
+++ b/lentilmount/routing/latency.py
@@ -14,7 +14,7 @@
 TAIL_FACTOR = 1.8
 """Reported p99 over the mean, for a service with a common spread."""
 
-FADING_SECONDS = 10.0
+REPORT_HALF_WEIGHT_SECONDS = 10.0
 """Age at which a report counts for half."""
 
 
@@ -30,11 +30,11 @@
 class LatencyModel:
     """Mean time by load band of one upstream, in seconds."""
 
-    __slots__ = ('_at', '_means')
+    __slots__ = ('_updated_at', '_means')
 
     def __init__(self) -> None:
         self._means = [0.0] * BANDS
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def observe(self, load: float, seconds: float, now: float) -> None:
         """Takes in an answer of this daemon's own."""
@@ -44,7 +44,7 @@
         self, load: float, p99: float, age: float, now: float
     ) -> None:
         """Takes in a worker's measurement, the older the less."""
-        weight = REPORT_SMOOTHING / (1.0 + age / FADING_SECONDS)
+        weight = REPORT_SMOOTHING / (1.0 + age / REPORT_HALF_WEIGHT_SECONDS)
         self._blend(get_load_band(load), p99 / TAIL_FACTOR, weight, now)
 
     def _blend(
@@ -54,28 +54,33 @@
         if known:
             seconds = known + (seconds - known) * weight
         self._means[band] = seconds
-        self._at = now
+        self._updated_at = now
 
-    def estimate(self, load: float, unknown: float, now: float) -> float:
+    def estimate(
+        self, load: float, default_seconds: float, now: float
+    ) -> float:
         """Returns the expected seconds of an answer.
 
-        What was learned long ago fades towards `unknown`: an upstream that
-        was slow would otherwise never be tried, nor found to be well again.
+        What was learned long ago fades towards `default_seconds`: an upstream
+        that was slow would otherwise never be tried, nor found to be well
+        again.
 
         Args:
           load: Share of the slots in use, the new request included; above 1
             the request waits for a slot.
-          unknown: What to expect where nothing is known.
+          default_seconds: What to expect where nothing is known.
           now: Monotonic time.
         """
         means = self._means
         band = get_load_band(load)
         mean = means[band]
         if not mean:
-            mean = self._find_nearest(band) or unknown
-        age = now - self._at
+            mean = self._find_nearest(band) or default_seconds
+        age = now - self._updated_at
         if age > FRESH_SECONDS:
-            mean = unknown + (mean - unknown) * FRESH_SECONDS / age
+            mean = (
+                default_seconds + (mean - default_seconds) * FRESH_SECONDS / age
+            )
         return mean * load if load > 1.0 else mean
 
     def _find_nearest(self, band: int) -> float:
--- a/lentilmount/routing/leaving.py
+++ b/lentilmount/routing/leaving.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-BOOTS_KEPT = 4
+MAX_BOOTS = 4
 """Marks kept for one worker; only its newest boot can be routed to."""
 
 
@@ -43,7 +43,7 @@
         if mark.boot in boots:
             return False
         boots.append(mark.boot)
-        del boots[:-BOOTS_KEPT]
+        del boots[:-MAX_BOOTS]
         self.version += 1
         return True
 
@@ -64,12 +64,14 @@
           The marks that are new.
         """
         listed = frozenset(leaving)
-        edges = listed - self._listed
+        newly_listed = listed - self._listed
         if listed != self._listed:
             self.version += 1
         self._listed = listed
         marks = [
-            LeavingMark(name, boots[name]) for name in edges if name in boots
+            LeavingMark(name, boots[name])
+            for name in newly_listed
+            if name in boots
         ]
         return [mark for mark in marks if self.add(mark)]
 
--- a/lentilmount/routing/loads.py
+++ b/lentilmount/routing/loads.py
@@ -14,7 +14,7 @@
 STALE_SECONDS = 2.5
 """Age after which a report no longer counts."""
 
-MOST_COUNTED = 255
+MAX_COUNT = 255
 _ZONE_MARK = 'zone/'
 
 
@@ -37,16 +37,16 @@
     """Writes counts by replica number as bytes."""
     packed = bytearray(max(loads, default=-1) + 1)
     for number, load in loads.items():
-        packed[number] = min(MOST_COUNTED, load)
+        packed[number] = min(MAX_COUNT, load)
     return bytes(packed)
 
 
-def _add(one: bytes, other: bytes) -> bytes:
-    if len(one) < len(other):
-        one, other = other, one
-    total = bytearray(one)
-    for number, load in enumerate(other):
-        total[number] = min(MOST_COUNTED, total[number] + load)
+def _add(first: bytes, second: bytes) -> bytes:
+    if len(first) < len(second):
+        first, second = second, first
+    total = bytearray(first)
+    for number, load in enumerate(second):
+        total[number] = min(MAX_COUNT, total[number] + load)
     return bytes(total)
 
 
@@ -63,7 +63,7 @@
         self._zone = zone
         self._reports: dict[tuple[str, str], tuple[float, bytes]] = {}
 
-    def take(self, reports: Iterable[LoadReport], now: float) -> None:
+    def update(self, reports: Iterable[LoadReport], now: float) -> None:
         """Takes in what a peer told."""
         mine = (self._daemon, _ZONE_MARK + self._zone)
         for report in reports:
@@ -99,7 +99,7 @@
         """
         if zone == self._zone:
             mine = [LoadReport(self._daemon, s, c) for s, c in own.items()]
-            return mine + self._list_far(now)
+            return mine + self._list_zone_reports(now)
         source = _ZONE_MARK + self._zone
         return [
             LoadReport(
@@ -108,7 +108,7 @@
             for service, counts in own.items()
         ]
 
-    def _list_far(self, now: float) -> list[LoadReport]:
+    def _list_zone_reports(self, now: float) -> list[LoadReport]:
         return [
             LoadReport(source, service, counts)
             for (source, service), (at, counts) in self._reports.items()
--- a/lentilmount/routing/pool.py
+++ b/lentilmount/routing/pool.py
@@ -24,7 +24,7 @@
 from lentilmount.routing.target import Target
 
 REVIEW_SECONDS = 0.1
-LEAST_PATIENCE = 0.1
+MIN_WAIT_SHARE = 0.1
 """Shortest wait that is allowed, as a share of the target."""
 
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
@@ -54,7 +54,7 @@
       waiting: Requests that wait for an upstream.
       retries: What may be spent on retries.
       hedges: What may be spent on hedges.
-      times: Times of recent answers.
+      response_times: Times of recent answers.
       in_flight: Requests at all of its upstreams.
     """
 
@@ -72,7 +72,7 @@
         self.waiting = WaitQueue(name)
         self.retries = Budget()
         self.hedges = Budget()
-        self.times = ResponseTimes()
+        self.response_times = ResponseTimes()
         self.in_flight = 0
         self._options = options
         self._balancer = balancer
@@ -88,7 +88,7 @@
         spec: ServiceSpec,
         spill: float,
         upstreams: Iterable[Upstream],
-        is_closed: Callable[[Upstream], bool],
+        is_excluded: Callable[[Upstream], bool],
     ) -> None:
         """Takes in what is in force and which upstreams there are.
 
@@ -96,7 +96,7 @@
           spec: What the service declares.
           spill: Seconds by which another zone must be faster.
           upstreams: Every upstream.
-          is_closed: Tells whether an upstream gets no new work.
+          is_excluded: Tells whether an upstream gets no new work.
         """
         self.spec = spec
         self._spill = spill
@@ -106,10 +106,10 @@
             if target is None or target.upstream.attempt != upstream.attempt:
                 target = self._make_target(upstream)
             target.upstream = upstream
-            target.resize(spec.slots, self.share)
+            target.resize(spec.slots, self.max_connections)
             self.targets[upstream.task] = target
         open_ones = [
-            t for t in self.targets.values() if not is_closed(t.upstream)
+            t for t in self.targets.values() if not is_excluded(t.upstream)
         ]
         zone = self._options.zone
         self._local = [t for t in open_ones if t.upstream.zone == zone]
@@ -118,10 +118,10 @@
             self.waiting.refuse_all()
 
     def _make_target(self, upstream: Upstream) -> Target:
-        return Target(upstream, self.spec.slots, self.share)
+        return Target(upstream, self.spec.slots, self.max_connections)
 
     @property
-    def share(self) -> int:
+    def max_connections(self) -> int:
         """Connections to each upstream that are this daemon's.
 
         Daemons see each other late, so a share that follows who is up would
@@ -139,14 +139,16 @@
         """Whether no upstream may get new work."""
         return not self._local and not self._remote
 
-    def get_patience(self) -> float:
+    def get_max_wait(self) -> float:
         """Returns the seconds a request may wait and still meet the target.
 
         Where the service alone takes longer than its target, a short wait is
         still worth its while.
         """
         target = self.spec.target_ms / 1000
-        return max(target * LEAST_PATIENCE, target - self.times.high)
+        return max(
+            target * MIN_WAIT_SHARE, target - self.response_times.high_quantile
+        )
 
     def set_daemons(self, count: int) -> None:
         """Sets among how many daemons the slots are shared."""
@@ -162,7 +164,7 @@
             self._local,
             self._remote,
             tried,
-            self.times.typical,
+            self.response_times.median,
             self._spill,
             now,
         )
@@ -178,7 +180,7 @@
         # health alone must not hold requests back.
         for target in self._local + self._remote:
             if (
-                target.own_in_flight < target.share
+                target.own_in_flight < target.max_connections
                 and target.upstream.task not in tried
             ):
                 return target
@@ -191,7 +193,7 @@
         seconds = now - began
         if reply.result is Result.ANSWERED:
             target.observe(seconds, now)
-            self.times.add(seconds)
+            self.response_times.add(seconds)
         failed = self._is_failed(reply, seconds)
         target.health.failures = target.health.failures + 1 if failed else 0
         if reply.is_busy:
@@ -212,13 +214,15 @@
         if reply.result is Result.ANSWERED:
             return reply.status in FAILED_STATUSES
         # A caller in a hurry must not make a healthy upstream look dead.
-        hurried = reply.is_timeout and seconds < self.times.high
+        hurried = (
+            reply.is_timeout and seconds < self.response_times.high_quantile
+        )
         return not reply.is_busy and not hurried
 
     def assign_waiting(self, now: float) -> None:
         """Gives free upstreams to requests that wait."""
         if self.waiting:
-            self.waiting.grant(lambda: self.acquire((), now))
+            self.waiting.assign(lambda: self.acquire((), now))
 
     def review_health(self, now: float) -> None:
         """Ejects upstreams that are at fault and lets others return."""
@@ -228,15 +232,17 @@
             before = target.health.state
             target.health.advance(now)
             if before is State.EJECTED and before is not target.health.state:
-                target.restart()
+                target.reset()
                 self._record(EventKind.RESTORED, target, '')
-        measured = [t.recent for t in targets if t.recent]
+        measured = [t.smoothed_seconds for t in targets if t.smoothed_seconds]
         median = statistics.median(measured) if measured else 0.0
         healths = [t.health for t in targets]
         for target in targets:
             if target.health.state is State.EJECTED:
                 continue
-            cause = find_ejection_cause(target, median, self.times.high, now)
+            cause = find_ejection_cause(
+                target, median, self.response_times.high_quantile, now
+            )
             if cause and can_eject_one_more(healths):
                 target.health.eject(now, self._rng)
                 self._record(EventKind.EJECTED, target, cause)
--- a/lentilmount/routing/pools.py
+++ b/lentilmount/routing/pools.py
@@ -77,7 +77,7 @@
                 self._events,
                 self._rng,
             )
-            self._fill(service, pool)
+            self._update_pool(service, pool)
         return pool
 
     def refresh(self) -> None:
@@ -91,9 +91,9 @@
             return
         self._versions = versions
         for service, pool in list(self._pools.items()):
-            self._fill(service, pool)
+            self._update_pool(service, pool)
 
-    def _fill(self, service: str, pool: Pool) -> None:
+    def _update_pool(self, service: str, pool: Pool) -> None:
         team, _, name = service.partition('/')
         spec = self._configuration.get_service(team, name)
         if spec is None:
@@ -102,11 +102,11 @@
             return
         upstreams = self._directory.list_service(service)
         spill = self._configuration.get_weights().spill_ms / 1000
-        pool.update(spec, spill, upstreams, self._is_closed)
+        pool.update(spec, spill, upstreams, self._is_excluded)
         self._share_loads()
         pool.assign_waiting(self._monotonic())
 
-    def _is_closed(self, upstream: Upstream) -> bool:
+    def _is_excluded(self, upstream: Upstream) -> bool:
         """Tells whether an upstream gets no new work."""
         team = upstream.service.partition('/')[0]
         found = self._configuration.get(Kind.UPSTREAM, team, upstream.resource)
@@ -129,17 +129,17 @@
           source: Who said so, for the time line.
         """
         if self.marks.add(mark):
-            self._note_leaving(mark, source)
+            self._handle_leaving(mark, source)
 
     def update_hosts(self, hosts: Iterable[Host]) -> None:
         """Takes in which hosts the host list calls leaving."""
         boots = {u.worker: u.boot for u in self._directory.list_all()}
         names = [host.name for host in hosts if host.leaving]
         for mark in self.marks.update_from_host_list(names, boots):
-            self._note_leaving(mark, 'the host list')
+            self._handle_leaving(mark, 'the host list')
         self.refresh()
 
-    def _note_leaving(self, mark: LeavingMark, source: str) -> None:
+    def _handle_leaving(self, mark: LeavingMark, source: str) -> None:
         self._events.record(
             'routing', EventKind.LEAVING, worker=mark.worker, cause=source
         )
@@ -152,7 +152,9 @@
         own = {
             service: pack_counts(
                 {
-                    target.upstream.number: round(target.read_average(now))
+                    target.upstream.number: round(
+                        target.get_mean_in_flight(now)
+                    )
                     for target in pool.targets.values()
                 }
             )
@@ -162,7 +164,7 @@
 
     def update_peer_loads(self, reports: Iterable[LoadReport]) -> None:
         """Takes in the loads that a peer told."""
-        self._peer_loads.take(reports, self._monotonic())
+        self._peer_loads.update(reports, self._monotonic())
         self._share_loads()
         for pool in list(self._pools.values()):
             pool.assign_waiting(self._monotonic())
--- a/lentilmount/routing/queue.py
+++ b/lentilmount/routing/queue.py
@@ -11,7 +11,7 @@
 from lentilmount.errors import ErrorKind, UpstreamError
 from lentilmount.routing.target import Target
 
-MOST_WAITING = 1024
+MAX_WAITING = 1024
 LEAST_RETRY_AFTER_SECONDS = 0.05
 
 
@@ -41,40 +41,40 @@
         """Returns how many wait."""
         return len(self._waiters)
 
-    def predict(self, typical: float, in_flight: int) -> float:
+    def predict_wait(self, median: float, in_flight: int) -> float:
         """Returns the seconds that one more would wait.
 
-        In flight requests end at a rate of `in_flight / typical` (Little's
+        In flight requests end at a rate of `in_flight / median` (Little's
         law), and each that ends lets one in.
         """
-        return (len(self._waiters) + 1) * typical / max(1, in_flight)
+        return (len(self._waiters) + 1) * median / max(1, in_flight)
 
     async def wait(
         self,
         predicted: float,
-        patience: float,
+        max_wait: float,
         is_disconnected: Callable[[], bool],
     ) -> Target:
         """Waits for a target.
 
         Args:
-          predicted: See `predict`.
-          patience: Longest wait that leaves time for an answer, in seconds.
+          predicted: See `predict_wait`.
+          max_wait: Longest wait that leaves time for an answer, in seconds.
           is_disconnected: Tells whether the caller has left.
 
         Raises:
           UpstreamError: At once if the wait would be too long, or later if
             the prediction was wrong; the request did not run.
         """
-        if predicted > patience or len(self._waiters) >= MOST_WAITING:
-            raise self.make_refusal(predicted)
+        if predicted > max_wait or len(self._waiters) >= MAX_WAITING:
+            raise self.make_overload_error(predicted)
         loop = asyncio.get_running_loop()
         waiter = Waiter(loop.create_future(), is_disconnected)
-        waiter.timer = loop.call_later(patience, self._give_up, waiter)
+        waiter.timer = loop.call_later(max_wait, self._time_out, waiter)
         self._waiters.append(waiter)
         return await waiter.future
 
-    def make_refusal(self, wait: float) -> UpstreamError:
+    def make_overload_error(self, wait: float) -> UpstreamError:
         """Builds the answer to a request for which there is no room."""
         return UpstreamError(
             f'every upstream of {self._service} is busy',
@@ -82,12 +82,12 @@
             retry_after=max(LEAST_RETRY_AFTER_SECONDS, wait),
         )
 
-    def _give_up(self, waiter: Waiter) -> None:
+    def _time_out(self, waiter: Waiter) -> None:
         if not waiter.future.done():
             self._waiters.remove(waiter)
-            waiter.future.set_exception(self.make_refusal(0.0))
+            waiter.future.set_exception(self.make_overload_error(0.0))
 
-    def grant(self, take: Callable[[], Target | None]) -> None:
+    def assign(self, take: Callable[[], Target | None]) -> None:
         """Gives free upstreams to those who wait longest.
 
         Args:
@@ -95,7 +95,7 @@
         """
         while self._waiters:
             if self._waiters[0].is_disconnected():
-                self._dismiss(self._waiters.popleft())
+                self._refuse(self._waiters.popleft())
                 continue
             target = take()
             if target is None:
@@ -107,11 +107,11 @@
     def refuse_all(self) -> None:
         """Refuses everything that waits, since no upstream is left."""
         while self._waiters:
-            self._dismiss(self._waiters.popleft())
+            self._refuse(self._waiters.popleft())
 
-    def _dismiss(self, waiter: Waiter) -> None:
+    def _refuse(self, waiter: Waiter) -> None:
         self._stop_timer(waiter)
-        waiter.future.set_exception(self.make_refusal(0.0))
+        waiter.future.set_exception(self.make_overload_error(0.0))
 
     def _stop_timer(self, waiter: Waiter) -> None:
         if waiter.timer is not None:
--- a/lentilmount/routing/response_times.py
+++ b/lentilmount/routing/response_times.py
@@ -8,35 +8,37 @@
 import collections
 
 QUANTILE = 0.95
-KEPT = 512
-SORT_EVERY = 64
-LEAST_SAMPLES = 64
+MAX_SAMPLES = 512
+SORT_INTERVAL = 64
+MIN_SAMPLES = 64
 
 
 class ResponseTimes:
     """The times of a service's recent answers.
 
     Attributes:
-      typical: Their median in seconds; 0 before there is one.
-      high: Their high quantile in seconds; 0 before there are enough.
+      median: Their median in seconds; 0 before there is one.
+      high_quantile: Their high quantile in seconds; 0 before there are enough.
     """
 
     def __init__(self) -> None:
-        self.typical = 0.0
-        self.high = 0.0
-        self._times: collections.deque[float] = collections.deque(maxlen=KEPT)
+        self.median = 0.0
+        self.high_quantile = 0.0
+        self._times: collections.deque[float] = collections.deque(
+            maxlen=MAX_SAMPLES
+        )
         self._unsorted = 0
 
     def add(self, seconds: float) -> None:
         """Takes in one answer; sorts only now and then."""
         self._times.append(seconds)
         self._unsorted += 1
-        if self._unsorted >= min(SORT_EVERY, len(self._times)):
+        if self._unsorted >= min(SORT_INTERVAL, len(self._times)):
             self._sort()
 
     def _sort(self) -> None:
         self._unsorted = 0
         times = sorted(self._times)
-        self.typical = times[len(times) // 2]
-        if len(times) >= LEAST_SAMPLES:
-            self.high = times[int(len(times) * QUANTILE)]
+        self.median = times[len(times) // 2]
+        if len(times) >= MIN_SAMPLES:
+            self.high_quantile = times[int(len(times) * QUANTILE)]
--- a/lentilmount/routing/retries.py
+++ b/lentilmount/routing/retries.py
@@ -11,12 +11,12 @@
 
 import attrs
 
-MOST_SAVED = 20.0
+MAX_BALANCE = 20.0
 """Copies that quiet times can save up, for when several fail together."""
 
-FIRST_SAVED = 3.0
-PAUSE_SECONDS = 0.004
-MOST_PAUSE_SECONDS = 0.1
+INITIAL_BALANCE = 3.0
+BASE_PAUSE_SECONDS = 0.004
+MAX_PAUSE_SECONDS = 0.1
 
 
 @attrs.define
@@ -27,11 +27,11 @@
       balance: Copies that may be sent now.
     """
 
-    balance: float = FIRST_SAVED
+    balance: float = INITIAL_BALANCE
 
     def earn(self, share: float) -> None:
         """Takes note of a request of a caller."""
-        self.balance = min(MOST_SAVED, self.balance + share)
+        self.balance = min(MAX_BALANCE, self.balance + share)
 
     def spend(self) -> bool:
         """Takes one copy if there is one."""
@@ -41,15 +41,15 @@
         return True
 
 
-def choose_pause(tries: int, left: float, rng: random.Random) -> float:
+def choose_pause(tries: int, remaining: float, rng: random.Random) -> float:
     """Returns the seconds to wait before a retry, with full jitter.
 
     Source: Brooker, "Exponential Backoff And Jitter", 2015.
 
     Args:
       tries: How many tries there were.
-      left: Seconds until the deadline.
+      remaining: Seconds until the deadline.
       rng: Where randomness comes from.
     """
-    longest = min(MOST_PAUSE_SECONDS, PAUSE_SECONDS * 2.0**tries)
-    return min(left / 4, rng.uniform(0.0, longest))
+    longest = min(MAX_PAUSE_SECONDS, BASE_PAUSE_SECONDS * 2.0**tries)
+    return min(remaining / 4, rng.uniform(0.0, longest))
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -39,7 +39,7 @@
 some are left for retries and hedges.
 """
 
-LEAST_SECONDS = 0.001
+MIN_TIMEOUT_SECONDS = 0.001
 """Shortest timeout that libcurl takes; it reads 0 as none."""
 
 
@@ -99,7 +99,7 @@
         count_daemons: Callable[[], int] = lambda: 1,
     ):
         self.pending = 0
-        self._copies = 0
+        self._copies_in_flight = 0
         self._configuration = configuration
         self._forwarder = forwarder
         self._monotonic = monotonic
@@ -155,17 +155,17 @@
         weights = self._configuration.get_weights()
         pool.retries.earn(weights.retry_share)
         pool.hedges.earn(weights.hedge_share)
-        target: Target | None = await self._take_first(pool, progress)
+        target: Target | None = await self._acquire_first(pool, progress)
         while target is not None:
             reply = await self._send(pool, target, progress)
             if reply.result is Result.ANSWERED:
                 return reply
-            target = await self._take_again(pool, progress, reply)
+            target = await self._acquire_retry(pool, progress, reply)
         raise self._make_error(progress, reply)
 
-    async def _take_first(self, pool: Pool, progress: _Progress) -> Target:
+    async def _acquire_first(self, pool: Pool, progress: _Progress) -> Target:
         call = progress.call
-        if pool.is_empty or not pool.share:
+        if pool.is_empty or not pool.max_connections:
             raise UpstreamError(
                 f'no upstream of {call.service} is running'
                 if pool.is_empty
@@ -175,21 +175,21 @@
                 retry_after=RETRY_AFTER_SECONDS,
             )
         now = self._monotonic()
-        typical = pool.times.typical
-        left = progress.deadline - now
-        if self._copies >= MAX_COPIES:
-            raise pool.waiting.make_refusal(typical)
+        median = pool.response_times.median
+        remaining = progress.deadline - now
+        if self._copies_in_flight >= MAX_COPIES:
+            raise pool.waiting.make_overload_error(median)
         if not pool.waiting:
             target = pool.acquire((), now)
             if target is not None:
                 return target
-        predicted = pool.waiting.predict(typical, pool.in_flight)
-        patience = min(left - typical, pool.get_patience())
+        predicted = pool.waiting.predict_wait(median, pool.in_flight)
+        max_wait = min(remaining - median, pool.get_max_wait())
         return await pool.waiting.wait(
-            predicted, patience, call.is_disconnected
+            predicted, max_wait, call.is_disconnected
         )
 
-    async def _take_again(
+    async def _acquire_retry(
         self, pool: Pool, progress: _Progress, reply: Reply
     ) -> Target | None:
         """Takes an upstream for a retry, if there may be one."""
@@ -200,13 +200,13 @@
         tries = len(progress.tried) - progress.misdirected
         if tries >= MAX_TRIES or call.is_disconnected():
             return None
-        left = progress.deadline - self._monotonic()
-        if left <= pool.times.typical:
+        remaining = progress.deadline - self._monotonic()
+        if remaining <= pool.response_times.median:
             return None
         # What an upstream without the service refuses costs it nothing.
         if not reply.is_misdirected and not pool.retries.spend():
             return None
-        pause = choose_pause(len(progress.tried), left, self._rng)
+        pause = choose_pause(len(progress.tried), remaining, self._rng)
         await asyncio.sleep(pause)
         self.pools.refresh()
         target = pool.acquire(progress.tried, self._monotonic())
@@ -218,23 +218,26 @@
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
         """Sends a copy, and a second one where the first is slow."""
-        delay = pool.times.high
+        delay = pool.response_times.high_quantile
         if not progress.call.idempotent or not delay:
-            return await self._send_one(pool, target, progress)
-        first = asyncio.create_task(self._send_one(pool, target, progress))
+            return await self._send_copy(pool, target, progress)
+        first = asyncio.create_task(self._send_copy(pool, target, progress))
         done, _ = await asyncio.wait({first}, timeout=delay)
         if done:
             return first.result()
         target.latency.observe(target.get_load(), delay, self._monotonic())
-        other = self._take_hedge(pool, progress)
+        other = self._acquire_hedge(pool, progress)
         if other is None:
             return await first
-        second = asyncio.create_task(self._send_one(pool, other, progress))
+        second = asyncio.create_task(self._send_copy(pool, other, progress))
         return await _get_first_answer(first, second)
 
-    def _take_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
-        left = progress.deadline - self._monotonic()
-        if left <= pool.times.typical or progress.call.is_disconnected():
+    def _acquire_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
+        remaining = progress.deadline - self._monotonic()
+        if (
+            remaining <= pool.response_times.median
+            or progress.call.is_disconnected()
+        ):
             return None
         # A copy for a service without free slots would only make the queue
         # of the others longer.
@@ -246,18 +249,18 @@
             self._record(EventKind.HEDGE, other, progress.call, 'slow')
         return other
 
-    async def _send_one(
+    async def _send_copy(
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
         upstream = target.upstream
         progress.tried.add(upstream.task)
         began = self._monotonic()
-        left = max(LEAST_SECONDS, progress.deadline - began)
-        self._copies += 1
+        remaining = max(MIN_TIMEOUT_SECONDS, progress.deadline - began)
+        self._copies_in_flight += 1
         reply = await self._forwarder.send(
-            upstream.address, progress.call, left, pool.share
+            upstream.address, progress.call, remaining, pool.max_connections
         )
-        self._copies -= 1
+        self._copies_in_flight -= 1
         if reply.result is not Result.NOT_RUN:
             progress.may_have_run = True
         if reply.is_leaving:
--- a/lentilmount/routing/target.py
+++ b/lentilmount/routing/target.py
@@ -9,7 +9,7 @@
 from lentilmount.routing.ejection import Health, State
 from lentilmount.routing.latency import LatencyModel
 
-LOAD_SECONDS = 0.5
+LOAD_AVERAGING_SECONDS = 0.5
 """Time over which the load told to peers is averaged: one heartbeat."""
 
 
@@ -22,14 +22,14 @@
       other_in_flight: Requests that the other daemons said they have there.
       slots: Requests that it runs at once.
       fair_share: Slots that are this daemon's if all daemons want some.
-      share: Most connections of this daemon.
+      max_connections: Most connections of this daemon.
       limit: What it takes without queueing, as learned.
       latency: How long it takes at which load.
       health: Whether it may be used.
     """
 
     __slots__ = (
-        '_average',
+        '_mean_in_flight',
         '_averaged_at',
         '_progress_at',
         'fair_share',
@@ -38,31 +38,31 @@
         'limit',
         'other_in_flight',
         'own_in_flight',
-        'share',
+        'max_connections',
         'slots',
         'upstream',
     )
 
-    def __init__(self, upstream: Upstream, slots: int, share: int):
+    def __init__(self, upstream: Upstream, slots: int, max_connections: int):
         self.upstream = upstream
         self.own_in_flight = 0
         self.other_in_flight = 0.0
         self.slots = slots
         self.fair_share = slots
-        self.share = share
-        self.limit = AdaptiveLimit(float(max(1, share)))
+        self.max_connections = max_connections
+        self.limit = AdaptiveLimit(float(max(1, max_connections)))
         self.latency = LatencyModel()
         self.health = Health()
-        self._average = 0.0
+        self._mean_in_flight = 0.0
         self._averaged_at = 0.0
         self._progress_at = 0.0
 
     @property
-    def recent(self) -> float:
+    def smoothed_seconds(self) -> float:
         """See `Ejectable`."""
-        return self.limit.recent
+        return self.limit.smoothed_seconds
 
-    def get_silence(self, now: float) -> float:
+    def get_stalled_seconds(self, now: float) -> float:
         """See `Ejectable`."""
         return now - self._progress_at if self.own_in_flight else 0.0
 
@@ -73,9 +73,9 @@
         fair part of the slots, and more where the others leave some unused.
         """
         if self.health.state is State.RETURNING:
-            return min(1, self.share)
+            return min(1, self.max_connections)
         room = max(self.fair_share, self.slots - round(self.other_in_flight))
-        return min(self.share, int(self.limit.value), room)
+        return min(self.max_connections, int(self.limit.value), room)
 
     def is_open(self) -> bool:
         """Tells whether one more request may be sent."""
@@ -88,25 +88,25 @@
         """Returns the share of the slots in use, one more included."""
         return (self.own_in_flight + self.other_in_flight + 1.0) / self.slots
 
-    def get_cost(self, unknown: float, now: float) -> float:
+    def get_cost(self, default_seconds: float, now: float) -> float:
         """Returns the expected seconds of one more request.
 
         An upstream that has owed an answer for some time takes at least as
         long; one that falls silent gives no other sign.
         """
-        expected = self.latency.estimate(self.get_load(), unknown, now)
-        return max(expected, self.get_silence(now))
+        expected = self.latency.estimate(self.get_load(), default_seconds, now)
+        return max(expected, self.get_stalled_seconds(now))
 
     def begin(self, now: float) -> None:
         """Takes note that a request is sent."""
-        self._average_load(now)
+        self._update_mean(now)
         if not self.own_in_flight:
             self._progress_at = now
         self.own_in_flight += 1
 
     def end(self, now: float) -> None:
         """Takes note that a request is over."""
-        self._average_load(now)
+        self._update_mean(now)
         self.own_in_flight -= 1
         self._progress_at = now
 
@@ -116,26 +116,27 @@
         load = (self.own_in_flight + self.other_in_flight) / self.slots
         self.latency.observe(load, seconds, now)
 
-    def _average_load(self, now: float) -> None:
-        passed = now - self._averaged_at
-        fade = math.exp(-passed / LOAD_SECONDS)
-        self._average = (
-            self.own_in_flight + (self._average - self.own_in_flight) * fade
+    def _update_mean(self, now: float) -> None:
+        elapsed = now - self._averaged_at
+        decay = math.exp(-elapsed / LOAD_AVERAGING_SECONDS)
+        self._mean_in_flight = (
+            self.own_in_flight
+            + (self._mean_in_flight - self.own_in_flight) * decay
         )
         self._averaged_at = now
 
-    def read_average(self, now: float) -> float:
+    def get_mean_in_flight(self, now: float) -> float:
         """Returns the smoothed number of own requests, for peers."""
-        self._average_load(now)
-        return self._average
+        self._update_mean(now)
+        return self._mean_in_flight
 
-    def resize(self, slots: int, share: int) -> None:
+    def resize(self, slots: int, max_connections: int) -> None:
         """Takes in what the service declares now."""
         self.slots = slots
-        self.share = share
-        self.limit.ceiling = float(max(1, share))
+        self.max_connections = max_connections
+        self.limit.ceiling = float(max(1, max_connections))
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forgets what was learned, when it returns after an ejection."""
         self.latency.forget()
         self.limit = AdaptiveLimit(self.limit.ceiling)
--- a/lentilmount/routing/teams.py
+++ b/lentilmount/routing/teams.py
@@ -15,12 +15,12 @@
     """Tokens that fill up at a rate; a request takes one.
 
     Attributes:
-      tokens: What is there, as of `at`.
-      at: Monotonic time.
+      tokens: What is there, as of `updated_at`.
+      updated_at: Monotonic time.
     """
 
     tokens: float
-    at: float
+    updated_at: float
 
     def take(self, rate: float, now: float) -> float:
         """Takes a token.
@@ -29,8 +29,8 @@
           0 if there was one, else the seconds until there is.
         """
         most = max(1.0, rate * BURST_SECONDS)
-        self.tokens = min(most, self.tokens + (now - self.at) * rate)
-        self.at = now
+        self.tokens = min(most, self.tokens + (now - self.updated_at) * rate)
+        self.updated_at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
--- a/lentilmount/upstream/http.py
+++ b/lentilmount/upstream/http.py
@@ -13,7 +13,7 @@
 CONNECT_SECONDS = 1.0
 CURL_ERROR = 599
 
-LEFT_OUT = {'User-Agent': '', 'Accept': ''}
+SUPPRESSED_HEADERS = {'User-Agent': '', 'Accept': ''}
 """Headers that curl adds unless they are given empty. With Accept-Encoding
 they were 91 of the 289 bytes of a look at a worker. An owner of 245 workers
 makes up to 2,200 calls a second: 1.6 Mbit/s that no service here reads."""
@@ -31,14 +31,14 @@
 class _Client(CurlAsyncHTTPClient):
     """A curl client whose transfers can be ended from outside."""
 
-    def end_transfer(self, curl: pycurl.Curl, why: str) -> None:
+    def end_transfer(self, curl: pycurl.Curl, reason: str) -> None:
         """Fails a transfer as if it had run into its timeout."""
-        self._finish(curl, pycurl.E_OPERATION_TIMEDOUT, why)
+        self._finish(curl, pycurl.E_OPERATION_TIMEDOUT, reason)
         self._process_queue()
 
 
 @attrs.define
-class _Patience:
+class _StallDetector:
     """Ends a transfer of which nothing arrives any more.
 
     A timeout for the whole of a long answer cannot tell a small link from a
@@ -78,8 +78,8 @@
             self._received = received
             self._wait()
             return
-        why = f'Nothing more for {self.seconds} s, {received} bytes so far'
-        self.client.end_transfer(curl, why)
+        reason = f'Nothing more for {self.seconds} s, {received} bytes so far'
+        self.client.end_transfer(curl, reason)
 
     def end(self) -> None:
         """Stops watching."""
@@ -133,17 +133,21 @@
             arriving; `timeout` is then the longest silence.
         """
         silence = timeout or self.timeout
-        patience = (
-            None if total_timeout is None else _Patience(self._client, silence)
+        stall_detector = (
+            None
+            if total_timeout is None
+            else _StallDetector(self._client, silence)
         )
         request = HTTPRequest(
             (self.base if base is None else base) + path,
             method=method,
             body=body,
-            headers={**LEFT_OUT, **(headers or {})},
+            headers={**SUPPRESSED_HEADERS, **(headers or {})},
             connect_timeout=CONNECT_SECONDS,
             request_timeout=silence if total_timeout is None else total_timeout,
-            prepare_curl_callback=patience.begin if patience else None,
+            prepare_curl_callback=stall_detector.begin
+            if stall_detector
+            else None,
             follow_redirects=False,
             decompress_response=False,
             ca_certs=self._ca_file,
@@ -156,8 +160,8 @@
         except CurlError as error:
             return HttpResponse(CURL_ERROR, str(error).encode(), {})
         finally:
-            if patience is not None:
-                patience.end()
+            if stall_detector is not None:
+                stall_detector.end()
         return HttpResponse(
             response.code, response.body or b'', response.headers
         )
--- a/tests/test_routing_decision.py
+++ b/tests/test_routing_decision.py
@@ -155,7 +155,7 @@
     clock = ManualClock()
     pools = make_pools(clock)
     pool = pools.get(SERVICE, SPEC)
-    pool.times.typical = TYPICAL
+    pool.response_times.median = TYPICAL
     history = History(clock.now)
     held: list[tuple[int, Target]] = []
     for kind, index, amount in steps:
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -28,7 +28,7 @@
 from lentilmount.routing.latency import LatencyModel
 from lentilmount.routing.loads import PeerLoads, pack_counts
 from lentilmount.routing.pool import Pool, PoolOptions
-from lentilmount.routing.retries import FIRST_SAVED, Budget
+from lentilmount.routing.retries import INITIAL_BALANCE, Budget
 from lentilmount.routing.target import Target
 from tests.helpers import run
 from tests.routing_fixtures import (
@@ -111,7 +111,7 @@
         ejected = 0
         for target in self.pool.targets.values():
             held = sum(t is target for t, _ in self.held)
-            assert target.own_in_flight == held <= self.pool.share
+            assert target.own_in_flight == held <= self.pool.max_connections
             ejected += target.health.state is State.EJECTED
         assert self.pool.in_flight == len(self.held)
         assert ejected <= max(1, 4 * MAX_EJECTED_SHARE)
@@ -143,7 +143,7 @@
             for one, other in (link, link[::-1]):
                 own = {'desk/quota': self.own[one]}
                 told = self.books[one].list_reports_for(other[0], own, self.now)
-                self.books[other].take(told, self.now)
+                self.books[other].update(told, self.now)
         for name, book in self.books.items():
             known = book.sum_others('desk/quota', self.now)
             others = [self.own[o] for o in self.NAMES if o != name]
@@ -180,7 +180,7 @@
 
     @invariant()
     def copies_are_few(self) -> None:
-        assert self.copies <= FIRST_SAVED + 0.1 * self.requests + 1e-6
+        assert self.copies <= INITIAL_BALANCE + 0.1 * self.requests + 1e-6
 
 
 TestSlots = Slots.TestCase
@@ -302,7 +302,7 @@
         for number in range(100):
             with pytest.raises(UpstreamError):
                 await router.route(make_call(number), None)
-        assert len(forwarder.sent) <= 100 + FIRST_SAVED + 10
+        assert len(forwarder.sent) <= 100 + INITIAL_BALANCE + 10
 
     run(play())
 
@@ -345,7 +345,7 @@
     pool.review_health(now)
     health = slow.health
     states = [health.state]
-    now = health.until
+    now = health.state_ends_at
     pool.review_health(now)
     states.append(health.state)
     assert slow.get_request_limit() == 1
@@ -368,7 +368,7 @@
     lengths = []
     for _ in range(8):
         health.eject(0.0, rng)
-        lengths.append(health.until)
+        lengths.append(health.state_ends_at)
     assert lengths[0] < 3.0 and 48.0 <= lengths[-1] <= 72.0
 
 
--- a/tests/test_routing_ran.py
+++ b/tests/test_routing_ran.py
@@ -13,7 +13,7 @@
 from lentilmount.errors import ErrorKind, Ran, UpstreamError
 from lentilmount.resources import ConfigurationSpec
 from lentilmount.routing.forward import Call, CurlForwarder, Result
-from lentilmount.routing.response_times import LEAST_SAMPLES, SORT_EVERY
+from lentilmount.routing.response_times import MIN_SAMPLES, SORT_INTERVAL
 from stand_ins.raw import LOOPBACK, Act, RawOptions, RawRequest, RawUpstream
 from tests.helpers import run
 from tests.routing_fixtures import (
@@ -191,10 +191,10 @@
             entry_hosts=1,
             monotonic=ManualClock().monotonic,
         ) as scene:
-            times = scene.router.pools.get(SERVICE, SPEC).times
-            for _ in range(LEAST_SAMPLES + SORT_EVERY):
+            times = scene.router.pools.get(SERVICE, SPEC).response_times
+            for _ in range(MIN_SAMPLES + SORT_INTERVAL):
                 times.add(0.005)
-            assert times.high == 0.005
+            assert times.high_quantile == 0.005
             make_first_copies_slow(scene.upstreams)
             for first in (200, 202):
                 calls = [
