--- a/lentilmount/routing/balance.py
+++ b/lentilmount/routing/balance.py
@@ -1,9 +1,10 @@
-"""Choosing between upstreams that several daemons use at once.
+"""Chooses between upstreams that several daemons use at once.
 
-Every daemon sees the others' load a heartbeat late. Always taking the least
-loaded upstream makes all daemons rush to the same one until the next
-heartbeat; two random choices do not (Mitzenmacher, "How Useful Is Old
-Information?", 2000). See docs/design/routing-balance.md for the figures.
+Every daemon learns the load of the others one heartbeat late. If each always
+took the least loaded upstream, all would send to the same one until the next
+heartbeat; choosing the better of two random upstreams avoids that
+(Mitzenmacher, "How Useful Is Old Information?", 2000). See
+docs/design/routing-balance.md for measurements.
 """
 
 from __future__ import annotations
@@ -16,13 +17,14 @@
 from lentilmount.routing.target import Target
 
 MAX_DRAWS = 6
-"""Random looks for two open upstreams before all are looked at."""
+"""Random draws for two open upstreams before all upstreams are checked."""
 
 SIGNIFICANT_RATIO = 1.25
-"""Ratio of two expected times beyond which the lower one decides."""
+"""Ratio of two expected times above which the lower one is chosen."""
 
 SIGNIFICANT_SECONDS = 0.001
-"""Difference that counts at least; event loops add as much by chance."""
+"""Smallest difference that is taken into account, in seconds; event loops add
+random delays of this size."""
 
 TaskIds = Collection[str]
 
@@ -37,18 +39,19 @@
         default_seconds: float,
         now: float,
     ) -> Target | None:
-        """Chooses an upstream that is open; None if there is none.
+        """Returns an open upstream, or None if there is none.
 
         Args:
-          targets: The upstreams.
-          tried: Tasks that are not to be chosen.
-          default_seconds: Seconds to expect of an upstream without answers yet.
-          now: Monotonic time.
+          targets: The upstreams to choose from.
+          tried: Tasks that already got this request and are excluded.
+          default_seconds: Expected response time of an upstream that has not
+            answered yet, in seconds.
+          now: Monotonic time in seconds.
         """
 
 
 class PowerOfTwo:
-    """The cheaper of two random open upstreams, by expected time."""
+    """Chooses the better of two random open upstreams, by expected time."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -88,10 +91,11 @@
 def choose_cheaper(
     one: Target, other: Target, default_seconds: float, now: float
 ) -> Target:
-    """Returns the target with the clearly lower expected time, else load.
+    """Returns the target with the lower expected time, or else lower load.
 
-    Expected times are estimates. If a difference within their error decided,
-    an upstream that once was a little slow would not be measured again.
+    Load decides unless the expected times differ significantly. They are
+    estimates: if a difference within their error decided, an upstream that
+    was once slightly slow would get no requests and not be measured again.
     """
     one_cost = one.get_cost(default_seconds, now)
     other_cost = other.get_cost(default_seconds, now)
@@ -111,17 +115,18 @@
     spill: float,
     now: float,
 ) -> Target | None:
-    """Chooses in the own availability zone unless another costs less.
+    """Chooses in the local availability zone unless another zone is faster.
 
     Args:
-      balancer: Chooses within a zone.
-      local: Upstreams of the own zone.
-      remote: Upstreams of the other zones; their measured times hold the
-        round trip.
-      tried: Tasks that are not to be chosen.
-      default_seconds: Seconds to expect of an upstream without answers yet.
-      spill: Seconds that another zone must win by.
-      now: Monotonic time.
+      balancer: Chooses among the upstreams of one list.
+      local: Upstreams of the local zone.
+      remote: Upstreams of the other zones; their measured times include the
+        round trip between zones.
+      tried: Tasks that already got this request and are excluded.
+      default_seconds: Expected response time of an upstream that has not
+        answered yet, in seconds.
+      spill: Seconds by which another zone must be faster to be chosen.
+      now: Monotonic time in seconds.
     """
     local_target = balancer.choose(local, tried, default_seconds, now)
     if local_target is None:
--- a/lentilmount/routing/concurrency.py
+++ b/lentilmount/routing/concurrency.py
@@ -1,8 +1,9 @@
-"""How many requests at once an upstream takes without queueing.
+"""Adaptive limit of concurrent requests at an upstream.
 
-Source: the queue estimate of TCP Vegas (Brakmo and Peterson, 1995), with a
-floor that rises slowly, so that service times which drift are learned anew
-instead of being taken for a queue.
+The limit is the number of requests that the upstream handles without
+queueing. It follows the queue estimate of TCP Vegas (Brakmo and Peterson,
+1995). The base response time rises slowly, so that a lasting change of the
+service time is learned and not mistaken for a queue.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 
 SMOOTHING = 0.1
 DRIFT_SECONDS = 10.0
-"""Time in which the floor takes in most of a lasting change."""
+"""Time in which the base time adapts to most of a lasting change."""
 
 QUEUEING_RATIO = 2.0
-"""Ratio of time to floor above which the limit goes down."""
+"""Ratio of response time to base time above which the limit decreases."""
 
 DECREASE_FACTOR = 0.95
 REJECTION_DECREASE_FACTOR = 0.7
@@ -23,14 +24,14 @@
 
 @attrs.define
 class AdaptiveLimit:
-    """The limit of one upstream on this daemon.
+    """Limit of this daemon's concurrent requests at one upstream.
 
     Attributes:
-      ceiling: Most that it can become.
-      value: The limit now.
-      smoothed_seconds: Smoothed time of its answers, in seconds.
-      base_seconds: The time that it takes when nothing queues, in seconds.
-      updated_at: Monotonic time of the last answer.
+      ceiling: Upper bound of the limit.
+      value: Current limit.
+      smoothed_seconds: Smoothed response time, in seconds.
+      base_seconds: Estimated response time without queueing, in seconds.
+      updated_at: Monotonic time of the last response, in seconds.
     """
 
     ceiling: float
@@ -42,7 +43,7 @@
     updated_at: float = 0.0
 
     def observe(self, seconds: float, in_flight: int, now: float) -> None:
-        """Takes in an answer that took some time."""
+        """Adapts the limit to the time that a response took."""
         if not self.base_seconds:
             self.smoothed_seconds = self.base_seconds = seconds
         self.smoothed_seconds += (seconds - self.smoothed_seconds) * SMOOTHING
@@ -60,5 +61,5 @@
             self.value = min(self.ceiling, self.value + 1.0 / self.value)
 
     def reduce_after_rejection(self) -> None:
-        """Takes note that the upstream refused for want of room."""
+        """Lowers the limit after the upstream refused a request as busy."""
         self.value = max(MIN_LIMIT, self.value * REJECTION_DECREASE_FACTOR)
--- a/lentilmount/routing/directory.py
+++ b/lentilmount/routing/directory.py
@@ -1,4 +1,4 @@
-"""Which upstreams serve which service, as the slices last told."""
+"""Directory of the upstreams of each service, as last reported by slices."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     """One running replica of a service.
 
     Attributes:
-      task: The replica's id.
-      attempt: Its attempt.
-      address: IP number and port where it serves.
-      zone: Its availability zone.
-      worker: The worker that it runs on.
-      boot: The boot of that worker.
-      slice_name: The slice that told of it.
+      task: Task id of the replica.
+      attempt: Number of the task's attempt.
+      address: IP address and port that serve requests.
+      zone: Availability zone of the replica.
+      worker: Name of the worker that runs it.
+      boot: Boot id of that worker.
+      slice_name: Name of the slice that owns the task.
     """
 
     task: str
@@ -35,25 +35,25 @@
 
     @property
     def service(self) -> str:
-        """The service, as team/name."""
+        """Name of the service, as team/name."""
         return self.task.partition('/')[2].rpartition('/')[0]
 
     @property
     def number(self) -> int:
-        """Its number among the replicas of the service."""
+        """Index of the replica within the service."""
         return int(self.task.rpartition('/')[2])
 
     @property
     def resource(self) -> str:
-        """Its name as a resource of the kind Upstream, without the team."""
+        """Name of the resource of kind Upstream, without the team."""
         return self.task.split('/', 2)[2].replace('/', '.')
 
 
 class UpstreamDirectory:
-    """Upstreams by service; changed by what the slices' logs say.
+    """Upstreams by service, updated from the change logs of slices.
 
     Attributes:
-      version: Raised with each change.
+      version: Increases with each change.
     """
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
         self._attempts: dict[str, int] = {}
 
     def load(self, slice_name: str, tasks: Iterable[Task]) -> None:
-        """Replaces what is known of a slice."""
+        """Replaces all upstreams of a slice."""
         tasks = list(tasks)
         present = {task.id for task in tasks}
         for service in self._upstreams.values():
@@ -75,7 +75,7 @@
             self.update(slice_name, task)
 
     def update(self, slice_name: str, task: Task) -> None:
-        """Takes in one change; an older attempt is old news."""
+        """Applies the change of one task; ignores an older attempt."""
         if not task.is_service:
             return
         if task.attempt < self._attempts.get(task.id, 0):
@@ -102,7 +102,7 @@
         return list(self._upstreams.get(service, {}).values())
 
     def list_all(self) -> list[Upstream]:
-        """Returns every upstream."""
+        """Returns the upstreams of all services."""
         return [
             upstream
             for service in self._upstreams.values()
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -1,9 +1,10 @@
-"""Keeping traffic from upstreams that fail, stall or are far too slow.
+"""Ejects upstreams that fail, stall or are much slower than others.
 
-SERVING -> EJECTED for a while that doubles -> RETURNING, with one request at
-a time and a rising share of the traffic -> SERVING. Never more than a set
-share of a service's upstreams is ejected: where most look bad, the cause is
-elsewhere, and the rest would be crushed.
+An upstream goes from SERVING to EJECTED, for a time that doubles with each
+ejection, then to RETURNING, with one request at a time and a rising share of
+the traffic, and back to SERVING. At most a fixed share of a service's
+upstreams is ejected: if most of them look faulty, the cause is elsewhere, and
+the remaining ones would be overloaded.
 """
 
 from __future__ import annotations
@@ -17,13 +18,15 @@
 
 MAX_EJECTED_SHARE = 0.3
 FAILURES_TO_EJECT = 5
-"""Failures in a row that eject."""
+"""Consecutive failures after which an upstream is ejected."""
 
 SLOW_FACTOR = 3.0
-"""Ratio to the median of the service's upstreams that ejects."""
+"""Ratio of response time to the median of the service's upstreams above which
+an upstream is ejected."""
 
 STALL_FACTOR = 2.5
-"""Time without any answer, as a multiple of the service's high quantile."""
+"""Time without any response after which an upstream is ejected, as a multiple
+of the high quantile of the service's response times."""
 
 MIN_STALL_SECONDS = 0.1
 EJECT_SECONDS = 2.0
@@ -34,7 +37,7 @@
 
 
 class State(enum.Enum):
-    """How an upstream stands."""
+    """State of an upstream's health."""
 
     SERVING = 'serving'
     EJECTED = 'ejected'
@@ -43,13 +46,14 @@
 
 @attrs.define
 class Health:
-    """One upstream's state.
+    """Health of one upstream.
 
     Attributes:
-      state: How it stands.
-      state_ends_at: Monotonic time when the state ends by itself.
-      failures: Failures in a row.
-      ejections: Ejections without a full return in between.
+      state: Current state.
+      state_ends_at: Monotonic time at which the state ends, in seconds; unused
+        while serving.
+      failures: Consecutive failures.
+      ejections: Ejections since the upstream last returned to SERVING.
     """
 
     state: State = State.SERVING
@@ -58,7 +62,7 @@
     ejections: int = 0
 
     def advance(self, now: float) -> None:
-        """Moves on when the time of a state is over."""
+        """Enters the next state if the time of the current one is over."""
         if self.state is State.SERVING or now < self.state_ends_at:
             return
         if self.state is State.EJECTED:
@@ -70,7 +74,7 @@
             self.ejections = 0
 
     def get_traffic_share(self, now: float) -> float:
-        """Returns the share of its traffic that an upstream gets now."""
+        """Returns the share of its regular traffic that the upstream gets."""
         if self.state is State.SERVING:
             return 1.0
         if self.state is State.EJECTED:
@@ -80,9 +84,10 @@
         )
 
     def eject(self, now: float, rng: random.Random) -> None:
-        """Ejects, for longer each time."""
+        """Ejects the upstream, for twice as long each time."""
         seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
-        # Daemons that ejected together would also come back together.
+        # Without jitter, daemons that ejected an upstream at the same time
+        # would all send to it again at the same time.
         seconds *= rng.uniform(1 - JITTER, 1 + JITTER)
         self.state = State.EJECTED
         self.state_ends_at = now + seconds
@@ -91,29 +96,29 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether its failures in a row are too many."""
+        """Whether the upstream has too many consecutive failures."""
         if self.state is State.RETURNING:
             return self.failures > 0
         return self.failures >= FAILURES_TO_EJECT
 
 
 class Ejectable(Protocol):
-    """What an upstream's ejection is judged by."""
+    """Interface of an upstream that can be ejected."""
 
     @property
     def health(self) -> Health:
-        """Its state."""
+        """Health of the upstream."""
 
     @property
     def smoothed_seconds(self) -> float:
-        """Smoothed seconds of its answers; 0 where there is none."""
+        """Smoothed response time in seconds; 0 before the first response."""
 
     def get_stalled_seconds(self, now: float) -> float:
-        """Returns the seconds that it has owed an answer."""
+        """Returns the seconds since the last progress of pending requests."""
 
 
 def can_eject_one_more(healths: Sequence[Health]) -> bool:
-    """Tells whether one more of these may be ejected."""
+    """Returns whether one more of these upstreams may be ejected."""
     out = sum(health.state is State.EJECTED for health in healths)
     return out + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
         len(healths) > 1
@@ -123,13 +128,15 @@
 def find_ejection_cause(
     target: Ejectable, median: float, high_quantile: float, now: float
 ) -> str:
-    """Tells why an upstream should be ejected; '' if it should not.
+    """Returns why an upstream should be ejected, or '' if it should not.
 
     Args:
       target: The upstream.
-      median: Median of the smoothed times of the service's upstreams.
-      high_quantile: High quantile of the service's times; 0 if unknown.
-      now: Monotonic time.
+      median: Median of the smoothed response times of the service's
+        upstreams, in seconds; 0 if unknown.
+      high_quantile: High quantile of the service's response times, in seconds;
+        0 if unknown.
+      now: Monotonic time in seconds.
     """
     if target.health.is_failing:
         return 'it fails'
--- a/lentilmount/routing/latency.py
+++ b/lentilmount/routing/latency.py
@@ -1,9 +1,10 @@
-"""How long an upstream takes at a given load, as learned from two sources.
+"""Estimates the response time of an upstream at a given load.
 
-This daemon's own answers are recent, but few for each upstream. The workers'
-reports cover every caller and lag. Both are kept by load band, so that an
-upstream which other work disturbs only when it is loaded is known as such,
-and is avoided before its slots fill up.
+The estimate combines two sources. Responses that this daemon received are
+recent, but few for each upstream. Reports of workers cover all callers, but
+lag. Both are recorded by load band, so that an upstream which suffers from
+interference only under load is recognised and avoided before its slots are
+all in use.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 SMOOTHING = 0.15
 REPORT_SMOOTHING = 0.3
 TAIL_FACTOR = 1.8
-"""Reported p99 over the mean, for a service with a common spread."""
+"""Assumed ratio of the reported p99 to the mean response time."""
 
 REPORT_HALF_WEIGHT_SECONDS = 10.0
-"""Age at which a report counts for half."""
+"""Age at which a report has half the weight of a new one, in seconds."""
 
 
 FRESH_SECONDS = 2.0
-"""Age of the last answer or report from which it counts less and less."""
+"""Age of the last response or report above which estimates lose weight."""
 
 
 def get_load_band(load: float) -> int:
-    """Returns the band of a share of slots in use."""
+    """Returns the index of the load band of a share of slots in use."""
     return max(0, min(BANDS - 1, int(load * BANDS)))
 
 
 class LatencyModel:
-    """Mean time by load band of one upstream, in seconds."""
+    """Mean response time of one upstream by load band, in seconds."""
 
     __slots__ = ('_updated_at', '_means')
 
@@ -37,13 +38,13 @@
         self._updated_at = 0.0
 
     def observe(self, load: float, seconds: float, now: float) -> None:
-        """Takes in an answer of this daemon's own."""
+        """Records the time of a response that this daemon received."""
         self._blend(get_load_band(load), seconds, SMOOTHING, now)
 
     def observe_report(
         self, load: float, p99: float, age: float, now: float
     ) -> None:
-        """Takes in a worker's measurement, the older the less."""
+        """Records a worker's measurement, with less weight the older it is."""
         weight = REPORT_SMOOTHING / (1.0 + age / REPORT_HALF_WEIGHT_SECONDS)
         self._blend(get_load_band(load), p99 / TAIL_FACTOR, weight, now)
 
@@ -59,17 +60,16 @@
     def estimate(
         self, load: float, default_seconds: float, now: float
     ) -> float:
-        """Returns the expected seconds of an answer.
+        """Returns the expected response time in seconds.
 
-        What was learned long ago fades towards `default_seconds`: an upstream
-        that was slow would otherwise never be tried, nor found to be well
-        again.
+        Old estimates decay towards `default_seconds`. Otherwise an upstream
+        that was slow would get no requests and never be seen to recover.
 
         Args:
-          load: Share of the slots in use, the new request included; above 1
+          load: Share of the slots in use, including the new request; above 1
             the request waits for a slot.
-          default_seconds: What to expect where nothing is known.
-          now: Monotonic time.
+          default_seconds: Expected time where nothing was measured, in seconds.
+          now: Monotonic time in seconds.
         """
         means = self._means
         band = get_load_band(load)
@@ -91,5 +91,5 @@
         return 0.0
 
     def forget(self) -> None:
-        """Drops everything, for an upstream that comes back."""
+        """Discards all measurements, when an upstream returns."""
         self._means = [0.0] * BANDS
--- a/lentilmount/routing/leaving.py
+++ b/lentilmount/routing/leaving.py
@@ -1,10 +1,10 @@
-"""Which workers are leaving: the first to say so is believed.
+"""Tracks workers that are leaving, which get no new requests.
 
-Three sources tell it: the host list, which lags; the worker or upstream
-itself; and peers, which pass on what they know. A mark names the worker and
-its boot and is kept for as long as that boot can matter. Nothing takes a mark
-back: a list or a peer that does not mention it is merely behind. A worker
-that booted anew has another boot, so the old mark does not touch it.
+There are three sources: the host list, which lags; the worker or upstream
+itself; and peers, which pass on their marks. The first source that reports a
+worker as leaving decides. A mark names the worker and its boot and is never
+removed early: a host list or peer that lacks it is only out of date. After a
+reboot the worker has another boot id, so an old mark does not apply to it.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 import attrs
 
 MAX_BOOTS = 4
-"""Marks kept for one worker; only its newest boot can be routed to."""
+"""Marks kept for one worker; requests go only to its newest boot."""
 
 
 @attrs.frozen
 class LeavingMark:
-    """One boot of a worker that is leaving."""
+    """Marks one boot of a worker as leaving."""
 
     worker: str
     boot: str
 
 
 class LeavingMarks:
-    """What is known to be leaving.
+    """Set of workers that are leaving.
 
     Attributes:
-      version: Raised with each change.
+      version: Increases with each change.
     """
 
     def __init__(self) -> None:
@@ -50,18 +50,18 @@
     def update_from_host_list(
         self, leaving: Iterable[str], boots: Mapping[str, str]
     ) -> list[LeavingMark]:
-        """Takes in the host list, which names workers without their boot.
+        """Applies the host list, which names workers without their boot.
 
-        The change from staying to leaving marks the boot known now, for good.
-        While the list goes on naming the worker, a later boot is left alone
-        too, but without a mark: the list may be speaking of the boot before.
+        When a worker is first listed as leaving, its current boot is marked
+        permanently. While the worker stays listed, a later boot gets no new
+        requests either, but no mark: the list may refer to the previous boot.
 
         Args:
-          leaving: Every worker that the list calls leaving.
-          boots: The boot of each worker with an upstream.
+          leaving: Names of all workers that are listed as leaving.
+          boots: Current boot of each worker that runs an upstream.
 
         Returns:
-          The marks that are new.
+          The new marks.
         """
         listed = frozenset(leaving)
         newly_listed = listed - self._listed
@@ -76,12 +76,12 @@
         return [mark for mark in marks if self.add(mark)]
 
     def is_leaving(self, worker: str, boot: str) -> bool:
-        """Tells whether a boot of a worker gets no new work."""
+        """Returns whether a boot of a worker gets no new requests."""
         marked = boot in self._boots.get(worker, ())
         return marked or worker in self._listed
 
     def list_marks(self) -> list[LeavingMark]:
-        """Returns every mark, for peers."""
+        """Returns all marks, to be sent to peers."""
         return [
             LeavingMark(worker, boot)
             for worker, boots in self._boots.items()
--- a/lentilmount/routing/loads.py
+++ b/lentilmount/routing/loads.py
@@ -1,8 +1,8 @@
-"""What the daemons tell each other of their load at the upstreams.
+"""Exchanges load reports between daemons.
 
-Within an availability zone every daemon talks to every other, between zones
-only a few do. So a daemon tells its own zone its own load, and what it heard
-of other zones; and tells another zone the sum of its zone.
+Within an availability zone all daemons exchange heartbeats, between zones
+only a few do. A daemon therefore sends its own load and the reports of other
+zones to daemons of its zone, and the total of its zone to other zones.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import attrs
 
 STALE_SECONDS = 2.5
-"""Age after which a report no longer counts."""
+"""Age after which a report is ignored."""
 
 MAX_COUNT = 255
 _ZONE_MARK = 'zone/'
@@ -20,12 +20,13 @@
 
 @attrs.frozen
 class LoadReport:
-    """Requests in flight at the replicas of one service.
+    """Number of requests in flight at the replicas of one service.
 
     Attributes:
-      source: A daemon, or a whole zone.
-      service: The service, as team/name.
-      counts: One byte for each replica, by its number.
+      source: Name of the daemon, or of the zone with a prefix, that has the
+        requests in flight.
+      service: Name of the service, as team/name.
+      counts: One byte for each replica, by its index.
     """
 
     source: str
@@ -34,7 +35,7 @@
 
 
 def pack_counts(loads: Mapping[int, int]) -> bytes:
-    """Writes counts by replica number as bytes."""
+    """Encodes counts by replica index as bytes."""
     packed = bytearray(max(loads, default=-1) + 1)
     for number, load in loads.items():
         packed[number] = min(MAX_COUNT, load)
@@ -51,11 +52,11 @@
 
 
 class PeerLoads:
-    """The last report of each other daemon and zone.
+    """Latest load reports of the other daemons and zones.
 
     Args:
-      daemon: This daemon's name.
-      zone: Its availability zone.
+      daemon: Name of this daemon.
+      zone: Availability zone of this daemon.
     """
 
     def __init__(self, daemon: str, zone: str):
@@ -64,7 +65,7 @@
         self._reports: dict[tuple[str, str], tuple[float, bytes]] = {}
 
     def update(self, reports: Iterable[LoadReport], now: float) -> None:
-        """Takes in what a peer told."""
+        """Records the reports of a peer and drops expired ones."""
         mine = (self._daemon, _ZONE_MARK + self._zone)
         for report in reports:
             if report.source not in mine:
@@ -75,7 +76,7 @@
                 del self._reports[key]
 
     def sum_others(self, service: str, now: float) -> bytes:
-        """Returns what the others have at each replica of a service."""
+        """Returns the requests of other daemons at each replica, as bytes."""
         return self._sum(service, now, local_only=False)
 
     def _sum(self, service: str, now: float, local_only: bool) -> bytes:
@@ -90,12 +91,12 @@
     def list_reports_for(
         self, zone: str, own: Mapping[str, bytes], now: float
     ) -> list[LoadReport]:
-        """Returns what a daemon in a zone is to be told.
+        """Returns the reports to send to a daemon of a zone.
 
         Args:
-          zone: The other daemon's zone.
-          own: This daemon's counts by service.
-          now: Monotonic time.
+          zone: Zone of the receiving daemon.
+          own: Encoded counts of this daemon, by service.
+          now: Monotonic time in seconds.
         """
         if zone == self._zone:
             mine = [LoadReport(self._daemon, s, c) for s, c in own.items()]
--- a/lentilmount/routing/response_times.py
+++ b/lentilmount/routing/response_times.py
@@ -1,6 +1,7 @@
-"""When a second copy of a slow idempotent request is worth sending.
+"""Recent response times of a service.
 
-Source: Dean and Barroso, "The Tail at Scale", 2013.
+Their high quantile is the delay after which a hedge, a second copy of a slow
+idempotent request, is sent (Dean and Barroso, "The Tail at Scale", 2013).
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 
 
 class ResponseTimes:
-    """The times of a service's recent answers.
+    """Quantiles of a service's recent response times.
 
     Attributes:
-      median: Their median in seconds; 0 before there is one.
-      high_quantile: Their high quantile in seconds; 0 before there are enough.
+      median: Median in seconds; 0 before the first response.
+      high_quantile: High quantile in seconds; 0 until there are enough samples.
     """
 
     def __init__(self) -> None:
@@ -30,7 +31,7 @@
         self._unsorted = 0
 
     def add(self, seconds: float) -> None:
-        """Takes in one answer; sorts only now and then."""
+        """Adds one response time; updates the quantiles at intervals."""
         self._times.append(seconds)
         self._unsorted += 1
         if self._unsorted >= min(SORT_INTERVAL, len(self._times)):
