--- a/lentilmount/routing/__init__.py
+++ b/lentilmount/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The entry path: choosing an upstream and answering the caller."""
+"""Routes the requests of callers to the upstreams of services."""
--- a/lentilmount/routing/forward.py
+++ b/lentilmount/routing/forward.py
@@ -1,4 +1,4 @@
-"""Sends one request to one upstream and tells what became of it."""
+"""Forwards a request to an upstream and reports whether it ran."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 TIMEOUT_HEADER = 'Lentilmount-Timeout-Ms'
 LEAVING_HEADER = 'Lentilmount-Leaving'
 MISDIRECTED = 421
-"""Status of a server that does not serve what was asked (RFC 9110, 15.5.20)."""
+"""Status of a server that does not serve the target (RFC 9110, 15.5.20)."""
 
 
 MAX_CLIENTS = 512
-"""Most requests in flight for each connection share; libcurl's handles are
-made beforehand and take memory.
+"""Maximum requests in flight for each connection limit; the client creates a
+libcurl handle for each in advance, which takes memory.
 """
 
 CONNECT_SECONDS = 0.25
-"""Round trips within a region take a few milliseconds."""
+"""Timeout for connecting; round trips within a region take a few
+milliseconds."""
 
 DISTRUST_SECONDS = 130.0
-"""Longer than libcurl keeps an idle connection (118 s)."""
+"""Time without connection reuse after a response to another request; longer
+than libcurl keeps an idle connection (118 s)."""
 
 MAX_IDLE_CONNECTIONS = 1024
 
@@ -53,13 +55,13 @@
 _REPLACED_HEADERS = frozenset(
     name.lower() for name in (REQUEST_HEADER, SERVICE_HEADER, TIMEOUT_HEADER)
 )
-"""Set anew; a second one beside the caller's would garble both."""
+"""Headers that are set here, in place of any that the caller sent."""
 
 _BODILESS = frozenset({204, 304})
 
 
 class Result(enum.Enum):
-    """What became of a request at an upstream."""
+    """Outcome of a request at an upstream."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not-run'
@@ -75,14 +77,14 @@
     """A caller's request.
 
     Attributes:
-      id: Its request id.
-      service: The service, as team/name.
+      id: Request id.
+      service: Name of the service, as team/name.
       method: HTTP method.
       path: Path and query at the upstream.
-      headers: The caller's headers.
-      body: The whole body.
-      idempotent: Whether running it twice does no harm.
-      is_disconnected: Tells whether the caller has left.
+      headers: Headers that the caller sent.
+      body: Complete body.
+      idempotent: Whether the request may safely run more than once.
+      is_disconnected: Returns whether the caller has closed its connection.
     """
 
     id: str
@@ -97,18 +99,18 @@
 
 @attrs.frozen
 class Reply:
-    """What an upstream answered, if it did.
+    """Response of an upstream, or the reason why there is none.
 
     Attributes:
-      result: Whether there is an answer, and if not, whether it ran.
+      result: Whether there is a response, and if not, whether the request ran.
       status: HTTP status.
-      headers: Headers that go to the caller.
-      body: The whole body.
-      error: Why there is no answer.
-      is_busy: Whether the upstream refused it for now.
-      is_misdirected: Whether the upstream says that the service is not there.
-      is_timeout: Whether the time ran out.
-      is_leaving: Whether the upstream says that it is going away.
+      headers: Headers to pass on to the caller.
+      body: Complete body.
+      error: Why there is no response.
+      is_busy: Whether the upstream refused the request as overloaded.
+      is_misdirected: Whether the upstream does not serve this service.
+      is_timeout: Whether the request timed out.
+      is_leaving: Whether the upstream reported that it is shutting down.
     """
 
     result: Result
@@ -123,7 +125,7 @@
 
 
 class Forwarder(Protocol):
-    """What sends requests to upstreams."""
+    """Interface of a client that sends requests to upstreams."""
 
     async def send(
         self, address: str, call: Call, timeout: float, connections: int
@@ -131,18 +133,18 @@
         """Sends a call to an upstream; never raises.
 
         Args:
-          address: IP number and port.
+          address: IP address and port of the upstream.
           call: The request.
           timeout: Seconds until the caller's deadline.
-          connections: Most connections of this daemon to the address.
+          connections: Maximum connections of this daemon to the address.
         """
 
 
 class _Request(HTTPRequest):
-    """A request that knows whether any of it was sent.
+    """A request that records whether any part of it was sent.
 
     Attributes:
-      was_sent: Whether a byte of it went out, on whichever connection.
+      was_sent: Whether any byte of it was sent, on any connection.
     """
 
     def __init__(
@@ -162,23 +164,23 @@
 
     def _prepare(self, curl: Any) -> None:
         self._curl = curl
-        # libcurl sends a request again by itself when a kept-alive connection
-        # turns out dead before any byte of the answer. The upstream may have
-        # run the first copy, so a non-idempotent request would run twice. On
-        # a fresh connection there is no such second try. It is closed after
-        # use, so that such connections do not push out the kept ones.
+        # libcurl resends a request by itself if a kept-alive connection is
+        # closed before any byte of the response. The upstream may have run
+        # the first copy, so a non-idempotent request would run twice. On a
+        # new connection libcurl does not resend. Connections of non-idempotent
+        # requests are closed after use, so that they do not evict idle ones.
         curl.setopt(pycurl.FRESH_CONNECT, self._fresh_connection)
         curl.setopt(pycurl.FORBID_REUSE, self._single_use)
         curl.setopt(pycurl.HTTPHEADER, self._lines)
-        # libcurl would resolve dots in the path by itself.
+        # By default libcurl removes dot segments from the path.
         curl.setopt(pycurl.PATH_AS_IS, 1)
 
     def record_sent(self) -> None:
-        """Reads what was sent, before the client uses its handle again.
+        """Records whether bytes were sent, before the handle is reused.
 
-        The error is not enough: when a kept-alive connection died after the
-        request went out, and the second connection was refused, libcurl
-        reports only the refusal. It counts the bytes over both.
+        The error alone does not tell: if a kept-alive connection failed after
+        the request was sent, and a second connection was refused, libcurl
+        reports only the refusal. Its byte count covers both connections.
         """
         if self._curl is not None:
             self.was_sent = self._curl.getinfo(pycurl.REQUEST_SIZE) > 0
@@ -186,12 +188,12 @@
 
 
 class _Client(CurlAsyncHTTPClient):
-    """The curl client, which also tells whether a failed request was sent."""
+    """A curl client that also records whether a failed request was sent."""
 
     def set_connection_limit(self, connections: int) -> None:
-        """Limits the connections to each address, idle ones included."""
+        """Limits the connections to each address, including idle ones."""
         self._multi.setopt(pycurl.M_MAX_HOST_CONNECTIONS, connections)
-        # libcurl's default follows the requests in flight and would close
+        # libcurl's default depends on the requests in flight and would close
         # most idle connections when traffic is low.
         self._multi.setopt(pycurl.M_MAXCONNECTS, MAX_IDLE_CONNECTIONS)
 
@@ -209,11 +211,11 @@
 
 
 class CurlForwarder:
-    """Sends requests with the curl client.
+    """Sends requests with a curl client.
 
-    A connection is used again only for idempotent requests to upstreams whose
-    answers name the request that they answer. Without the name, an upstream
-    that answered twice would have its second answer taken for the answer to
+    A connection is reused only for idempotent requests to upstreams whose
+    responses echo the request id. Without the id, if an upstream sent two
+    responses to one request, the second would be taken for the response to
     the next request on that connection.
     """
 
@@ -253,7 +255,7 @@
         except CurlError as error:
             return _make_failure(request, error)
         except ValueError as error:
-            # A path that is not ASCII; found before connecting.
+            # The path is not ASCII; raised before connecting.
             return Reply(Result.NOT_RUN, error=str(error))
         return self._read_response(address, call, client, response)
 
@@ -310,10 +312,10 @@
 
 
 def _format_headers(call: Call, timeout: float) -> list[bytes]:
-    """Writes header lines as libcurl takes them.
+    """Formats header lines for libcurl.
 
-    They go to libcurl as they are: the client would parse and check each of
-    them again, and they come from a server that already did.
+    They are passed directly to libcurl. The client would parse and validate
+    each of them again, which the server that received them already did.
     """
     pairs = [
         *(
@@ -325,18 +327,18 @@
         (SERVICE_HEADER, call.service),
         (TIMEOUT_HEADER, str(max(1, int(timeout * 1000)))),
     ]
-    # libcurl drops a header without a value unless it ends in a semicolon.
+    # libcurl omits a header without a value unless it ends in a semicolon.
     lines = [f'{n}: {v}' if v else f'{n};' for n, v in pairs]
-    # libcurl would wait for the upstream's word before it sends a large body.
+    # By default libcurl waits for "100 Continue" before it sends a large body.
     lines.append('Expect:')
     return [line.encode('latin-1') for line in lines]
 
 
 def _is_complete(method: str, response: HTTPResponse) -> bool:
-    """Tells whether a cut would have been noticed.
+    """Returns whether the body is known to be complete.
 
-    An answer that ends with its connection looks the same when the upstream
-    dies in the middle of it. With a length or chunks libcurl reports that.
+    A body that ends with the connection looks the same if the upstream fails
+    while sending it. With a length or chunks libcurl detects truncation.
     """
     if method == 'HEAD' or response.code in _BODILESS:
         return True
@@ -356,7 +358,7 @@
 def remove_hop_by_hop_headers(
     headers: Iterable[tuple[str, str]],
 ) -> Iterator[tuple[str, str]]:
-    """Leaves out the headers that belong to one connection."""
+    """Yields the headers that do not belong to a single connection."""
     for name, value in headers:
         if name.lower() not in _HOP_BY_HOP:
             yield name, value
--- a/lentilmount/routing/pool.py
+++ b/lentilmount/routing/pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of one service: taking one, giving it back, reviewing all."""
+"""Pool of the upstreams of one service: selection, results and health."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 REVIEW_SECONDS = 0.1
 MIN_WAIT_SHARE = 0.1
-"""Shortest wait that is allowed, as a share of the target."""
+"""Minimum time that a request may queue, as a share of the latency target."""
 
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
 
 
 @attrs.frozen
 class PoolOptions:
-    """What a pool is told of its daemon.
+    """Settings of the daemon that a pool runs on.
 
     Attributes:
-      daemon: The daemon's name.
-      zone: Its availability zone.
-      entry_hosts: Daemons among which connections are shared.
+      daemon: Name of the daemon.
+      zone: Availability zone of the daemon.
+      entry_hosts: Number of entry hosts that share an upstream's connections.
     """
 
     daemon: str
@@ -49,13 +49,13 @@
     """One service's upstreams on this daemon.
 
     Attributes:
-      spec: What the service declares.
-      targets: Every upstream, leaving ones included, by task.
-      waiting: Requests that wait for an upstream.
-      retries: What may be spent on retries.
-      hedges: What may be spent on hedges.
-      response_times: Times of recent answers.
-      in_flight: Requests at all of its upstreams.
+      spec: Specification of the service.
+      targets: All upstreams, including leaving ones, by task id.
+      waiting: Queue of requests that wait for an upstream.
+      retries: Budget of retries.
+      hedges: Budget of hedges.
+      response_times: Recent response times.
+      in_flight: Number of this daemon's requests at all upstreams.
     """
 
     def __init__(
@@ -90,13 +90,13 @@
         upstreams: Iterable[Upstream],
         is_excluded: Callable[[Upstream], bool],
     ) -> None:
-        """Takes in what is in force and which upstreams there are.
+        """Applies the current configuration and list of upstreams.
 
         Args:
-          spec: What the service declares.
-          spill: Seconds by which another zone must be faster.
-          upstreams: Every upstream.
-          is_excluded: Tells whether an upstream gets no new work.
+          spec: Specification of the service.
+          spill: Seconds by which another zone must be faster to be chosen.
+          upstreams: All upstreams of the service.
+          is_excluded: Returns whether an upstream gets no new requests.
         """
         self.spec = spec
         self._spill = spill
@@ -122,28 +122,29 @@
 
     @property
     def max_connections(self) -> int:
-        """Connections to each upstream that are this daemon's.
+        """Maximum connections of this daemon to each upstream.
 
-        Daemons see each other late, so a share that follows who is up would
-        pass the upstream's limit whenever one comes or returns. A fixed share
-        for each seat holds without any of them knowing of the others.
+        Daemons detect each other with a delay, so if the share depended on the
+        daemons that are up, the upstream's limit would be exceeded whenever a
+        daemon joins or returns. A fixed share for each entry host keeps the
+        limit without coordination.
 
-        One of them is kept free: an upstream may see a new connection before
-        it has seen the end of the one that it takes the place of.
+        One connection of the share is left unused: an upstream may accept a
+        new connection before it notices that the replaced one was closed.
         """
         share = self.spec.connections // self._options.entry_hosts
         return share - 1 if share > 1 else share
 
     @property
     def is_empty(self) -> bool:
-        """Whether no upstream may get new work."""
+        """Whether no upstream may get new requests."""
         return not self._local and not self._remote
 
     def get_max_wait(self) -> float:
         """Returns the seconds a request may wait and still meet the target.
 
-        Where the service alone takes longer than its target, a short wait is
-        still worth its while.
+        If the service itself takes longer than its target, a short wait is
+        still allowed.
         """
         target = self.spec.target_ms / 1000
         return max(
@@ -151,7 +152,7 @@
         )
 
     def set_daemons(self, count: int) -> None:
-        """Sets among how many daemons the slots are shared."""
+        """Sets the number of daemons that share the slots."""
         for target in self.targets.values():
             target.fair_share = max(1, -(-target.slots // max(1, count)))
 
@@ -176,8 +177,8 @@
         return target
 
     def _find_any(self, tried: Collection[str]) -> Target | None:
-        # With nothing in flight no release would ever wake the queue, so
-        # health alone must not hold requests back.
+        # With no request in flight, no release would serve the queue, so
+        # requests are sent even if all upstreams are ejected.
         for target in self._local + self._remote:
             if (
                 target.own_in_flight < target.max_connections
@@ -189,7 +190,7 @@
     def release(
         self, target: Target, reply: Reply, began: float, now: float
     ) -> None:
-        """Takes in what became of a request and lets the next one in."""
+        """Records the result of a request and assigns the next one."""
         seconds = now - began
         if reply.result is Result.ANSWERED:
             target.observe(seconds, now)
@@ -199,9 +200,10 @@
         if reply.is_busy:
             target.limit.reduce_after_rejection()
         if reply.is_misdirected:
-            # Its task ended, and nobody is there to tell: the owner of its
-            # slice died while the table was out. Idle as it looks, it would
-            # draw requests, so it is out at once, whatever share is out.
+            # The task ended, but the directory still lists it, as when the
+            # owner of its slice failed while the table service was
+            # unavailable. It looks idle and would attract requests, so it is
+            # ejected at once, whatever share is ejected already.
             target.health.eject(now, self._rng)
             self._record(EventKind.EJECTED, target, reply.error)
         target.end(now)
@@ -213,19 +215,20 @@
     def _is_failed(self, reply: Reply, seconds: float) -> bool:
         if reply.result is Result.ANSWERED:
             return reply.status in FAILED_STATUSES
-        # A caller in a hurry must not make a healthy upstream look dead.
+        # A timeout shorter than usual response times says nothing about the
+        # upstream's health.
         hurried = (
             reply.is_timeout and seconds < self.response_times.high_quantile
         )
         return not reply.is_busy and not hurried
 
     def assign_waiting(self, now: float) -> None:
-        """Gives free upstreams to requests that wait."""
+        """Assigns free upstreams to waiting requests."""
         if self.waiting:
             self.waiting.assign(lambda: self.acquire((), now))
 
     def review_health(self, now: float) -> None:
-        """Ejects upstreams that are at fault and lets others return."""
+        """Ejects faulty upstreams and restores others."""
         self._next_review = now + REVIEW_SECONDS
         targets = self._local + self._remote
         for target in targets:
--- a/lentilmount/routing/pools.py
+++ b/lentilmount/routing/pools.py
@@ -1,4 +1,4 @@
-"""Every service's pool, kept up to what is in force and what others tell."""
+"""Pools of all services, kept up to date with configuration and peers."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class Pools:
-    """The upstreams of every service that was called here.
+    """The pool of each service that was called on this daemon.
 
     Attributes:
       marks: Workers that are leaving.
-      on_new_mark: Called when a mark is new, to tell peers soon.
+      on_new_mark: Called for each new mark, to inform peers without delay.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
     @property
     def in_flight(self) -> dict[str, int]:
-        """Requests that this daemon has at each upstream, by task."""
+        """Number of this daemon's requests at each upstream, by task id."""
         return {
             task: target.own_in_flight
             for pool in self._pools.values()
@@ -65,7 +65,7 @@
         }
 
     def get(self, service: str, spec: ServiceSpec) -> Pool:
-        """Returns a service's pool, up to date."""
+        """Returns the updated pool of a service; creates it if needed."""
         self.refresh()
         pool = self._pools.get(service)
         if pool is None:
@@ -81,7 +81,7 @@
         return pool
 
     def refresh(self) -> None:
-        """Takes in what changed of upstreams, configuration and marks."""
+        """Updates the pools if upstreams, configuration or marks changed."""
         versions = (
             self._directory.version,
             self._configuration.revision,
@@ -107,7 +107,7 @@
         pool.assign_waiting(self._monotonic())
 
     def _is_excluded(self, upstream: Upstream) -> bool:
-        """Tells whether an upstream gets no new work."""
+        """Returns whether an upstream gets no new requests."""
         team = upstream.service.partition('/')[0]
         found = self._configuration.get(Kind.UPSTREAM, team, upstream.resource)
         drained = (
@@ -122,17 +122,17 @@
         )
 
     def mark_leaving(self, mark: LeavingMark, source: str) -> None:
-        """Takes note that a boot of a worker is leaving.
+        """Records that a boot of a worker is leaving.
 
         Args:
           mark: The worker and its boot.
-          source: Who said so, for the time line.
+          source: Who reported it, for the event.
         """
         if self.marks.add(mark):
             self._handle_leaving(mark, source)
 
     def update_hosts(self, hosts: Iterable[Host]) -> None:
-        """Takes in which hosts the host list calls leaving."""
+        """Applies the host list: hosts that are leaving get no requests."""
         boots = {u.worker: u.boot for u in self._directory.list_all()}
         names = [host.name for host in hosts if host.leaving]
         for mark in self.marks.update_from_host_list(names, boots):
@@ -147,7 +147,7 @@
         self.refresh()
 
     def list_loads(self, zone: str) -> list[LoadReport]:
-        """Returns the loads to tell a daemon in a zone."""
+        """Returns the load reports to send to a daemon of a zone."""
         now = self._monotonic()
         own = {
             service: pack_counts(
@@ -163,7 +163,7 @@
         return self._peer_loads.list_reports_for(zone, own, now)
 
     def update_peer_loads(self, reports: Iterable[LoadReport]) -> None:
-        """Takes in the loads that a peer told."""
+        """Applies the load reports of a peer."""
         self._peer_loads.update(reports, self._monotonic())
         self._share_loads()
         for pool in list(self._pools.values()):
@@ -181,7 +181,7 @@
                 target.other_in_flight = float(others[number]) if known else 0.0
 
     def update_usage(self, usages: Iterable[Usage]) -> None:
-        """Takes in what workers measured of services, with its lag."""
+        """Applies workers' measurements of services, which lag."""
         for usage in usages:
             service = usage.task.partition('/')[2].rpartition('/')[0]
             pool = self._pools.get(service)
--- a/lentilmount/routing/queue.py
+++ b/lentilmount/routing/queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that refuses early what would wait too long."""
+"""A bounded queue that refuses requests early if they would wait too long."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     """A request that waits for an upstream.
 
     Attributes:
-      future: Gets the upstream, already counted as in use.
-      is_disconnected: Tells whether the caller has left.
-      timer: Refuses it when it waited for too long.
+      future: Receives the upstream, which already counts this request.
+      is_disconnected: Returns whether the caller has closed its connection.
+      timer: Refuses the request when its maximum wait is over.
     """
 
     future: asyncio.Future[Target]
@@ -31,21 +31,25 @@
 
 
 class WaitQueue:
-    """Requests to one service that wait for a free upstream, in order."""
+    """FIFO queue of requests to one service that wait for a free upstream."""
 
     def __init__(self, service: str):
         self._service = service
         self._waiters: collections.deque[Waiter] = collections.deque()
 
     def __len__(self) -> int:
-        """Returns how many wait."""
+        """Returns the number of waiting requests."""
         return len(self._waiters)
 
     def predict_wait(self, median: float, in_flight: int) -> float:
-        """Returns the seconds that one more would wait.
+        """Returns the expected wait of one more request, in seconds.
 
-        In flight requests end at a rate of `in_flight / median` (Little's
-        law), and each that ends lets one in.
+        Requests in flight end at a rate of `in_flight / median` (Little's
+        law), and each that ends admits a waiting one.
+
+        Args:
+          median: Median response time of the service, in seconds.
+          in_flight: Number of this daemon's requests at all upstreams.
         """
         return (len(self._waiters) + 1) * median / max(1, in_flight)
 
@@ -55,16 +59,16 @@
         max_wait: float,
         is_disconnected: Callable[[], bool],
     ) -> Target:
-        """Waits for a target.
+        """Waits for an upstream.
 
         Args:
-          predicted: See `predict_wait`.
-          max_wait: Longest wait that leaves time for an answer, in seconds.
-          is_disconnected: Tells whether the caller has left.
+          predicted: Expected wait in seconds; see `predict_wait`.
+          max_wait: Longest wait that leaves time for a response, in seconds.
+          is_disconnected: Returns whether the caller has closed its connection.
 
         Raises:
-          UpstreamError: At once if the wait would be too long, or later if
-            the prediction was wrong; the request did not run.
+          UpstreamError: At once if the expected wait is too long, or after
+            `max_wait`; the request did not run.
         """
         if predicted > max_wait or len(self._waiters) >= MAX_WAITING:
             raise self.make_overload_error(predicted)
@@ -75,7 +79,7 @@
         return await waiter.future
 
     def make_overload_error(self, wait: float) -> UpstreamError:
-        """Builds the answer to a request for which there is no room."""
+        """Returns the error for a request that exceeds the capacity."""
         return UpstreamError(
             f'every upstream of {self._service} is busy',
             kind=ErrorKind.OVERLOADED,
@@ -88,10 +92,10 @@
             waiter.future.set_exception(self.make_overload_error(0.0))
 
     def assign(self, take: Callable[[], Target | None]) -> None:
-        """Gives free upstreams to those who wait longest.
+        """Assigns free upstreams to the requests that have waited longest.
 
         Args:
-          take: Takes a free upstream; None if there is none.
+          take: Acquires a free upstream; returns None if there is none.
         """
         while self._waiters:
             if self._waiters[0].is_disconnected():
@@ -105,7 +109,7 @@
             waiter.future.set_result(target)
 
     def refuse_all(self) -> None:
-        """Refuses everything that waits, since no upstream is left."""
+        """Refuses all waiting requests, when no upstream is left."""
         while self._waiters:
             self._refuse(self._waiters.popleft())
 
--- a/lentilmount/routing/retries.py
+++ b/lentilmount/routing/retries.py
@@ -1,8 +1,8 @@
 """Budgets for extra copies of requests, and the pause before a retry.
 
-Blind retries multiply the load just when there is no room for it. A budget
-earns a small share with every request, so extra copies stay that share of
-the traffic whatever happens.
+Unlimited retries multiply the load when upstreams are already overloaded. A
+budget earns a small share of a copy with each request, so that extra copies
+stay a fixed share of the traffic.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 import attrs
 
 MAX_BALANCE = 20.0
-"""Copies that quiet times can save up, for when several fail together."""
+"""Maximum copies that can accumulate, for when several requests fail at
+once."""
 
 INITIAL_BALANCE = 3.0
 BASE_PAUSE_SECONDS = 0.004
@@ -21,20 +22,20 @@
 
 @attrs.define
 class Budget:
-    """What may be spent on extra copies of requests.
+    """Budget of extra copies of requests, used for retries and for hedges.
 
     Attributes:
-      balance: Copies that may be sent now.
+      balance: Number of copies that may be sent now.
     """
 
     balance: float = INITIAL_BALANCE
 
     def earn(self, share: float) -> None:
-        """Takes note of a request of a caller."""
+        """Adds the share of a copy that one caller's request earns."""
         self.balance = min(MAX_BALANCE, self.balance + share)
 
     def spend(self) -> bool:
-        """Takes one copy if there is one."""
+        """Spends one copy; returns False if the balance is too low."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
@@ -47,7 +48,7 @@
     Source: Brooker, "Exponential Backoff And Jitter", 2015.
 
     Args:
-      tries: How many tries there were.
+      tries: Number of attempts so far.
       remaining: Seconds until the deadline.
       rng: Where randomness comes from.
     """
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -1,4 +1,4 @@
-"""From a caller's request to an upstream's answer, or a refusal."""
+"""Routes callers' requests to upstreams, with queueing, retries and hedges."""
 
 from __future__ import annotations
 
@@ -35,23 +35,24 @@
 RETRY_AFTER_SECONDS = 0.5
 MAX_TRIES = 3
 MAX_COPIES = MAX_CLIENTS - 64
-"""Beyond this the client would hold requests back, unseen by any deadline;
-some are left for retries and hedges.
+"""Maximum copies in flight. Above the client's limit requests would wait in
+the client, where no deadline applies; some are reserved for retries and hedges.
 """
 
 MIN_TIMEOUT_SECONDS = 0.001
-"""Shortest timeout that libcurl takes; it reads 0 as none."""
+"""Shortest timeout that libcurl accepts; it treats 0 as no timeout."""
 
 
 @attrs.define
 class RouterOptions:
-    """How a router works.
+    """Options of a router.
 
     Attributes:
-      zone: The availability zone whose upstreams come first.
-      daemon: This daemon's name.
-      entry_hosts: Most entry hosts that share an upstream's connections.
-      seed: Seed of every random choice.
+      zone: Availability zone whose upstreams are preferred.
+      daemon: Name of this daemon.
+      entry_hosts: Maximum number of entry hosts, which share an upstream's
+        connections.
+      seed: Seed of the random number generator; None for a random one.
     """
 
     zone: str
@@ -62,14 +63,15 @@
 
 @attrs.define
 class _Progress:
-    """What became of a request so far.
+    """Progress of a request.
 
     Attributes:
       call: The request.
-      deadline: Monotonic time when the caller stops waiting.
-      tried: Tasks that got a copy.
+      deadline: Monotonic time at which the caller stops waiting, in seconds.
+      tried: Ids of the tasks that were sent a copy.
       may_have_run: Whether any copy may have run.
-      misdirected: Copies that met an upstream without the service.
+      misdirected: Number of copies refused because the upstream does not serve
+        the service.
     """
 
     call: Call
@@ -80,11 +82,11 @@
 
 
 class Router:
-    """Chooses upstreams for requests.
+    """Routes requests to upstreams.
 
     Attributes:
-      pending: Requests of callers that are not answered yet.
-      pools: The upstreams of each service.
+      pending: Number of callers' requests that are not answered yet.
+      pools: Pools of upstreams, by service.
     """
 
     def __init__(
@@ -120,19 +122,21 @@
 
     @property
     def in_flight(self) -> dict[str, int]:
-        """Requests that this daemon has at each upstream, by task."""
+        """Number of this daemon's requests at each upstream, by task id."""
         return self.pools.in_flight
 
     async def route(self, call: Call, timeout: float | None) -> Reply:
-        """Answers a call.
+        """Routes a call and returns the response.
 
         Args:
           call: The request.
-          timeout: Seconds that the caller waits; the service's if None.
+          timeout: Seconds that the caller waits; None for the service's
+            deadline.
 
         Raises:
           NotFoundError: There is no such service.
-          UpstreamError: No whole answer; says whether the request ran.
+          UpstreamError: There is no complete response; says whether the
+            request ran.
         """
         team, _, name = call.service.partition('/')
         spec = self._configuration.get_service(team, name)
@@ -192,7 +196,7 @@
     async def _acquire_retry(
         self, pool: Pool, progress: _Progress, reply: Reply
     ) -> Target | None:
-        """Takes an upstream for a retry, if there may be one."""
+        """Acquires an upstream for a retry; None if no retry is allowed."""
         call = progress.call
         if progress.may_have_run and not call.idempotent:
             return None
@@ -203,7 +207,7 @@
         remaining = progress.deadline - self._monotonic()
         if remaining <= pool.response_times.median:
             return None
-        # What an upstream without the service refuses costs it nothing.
+        # A misdirected request causes no load, so its retry is not charged.
         if not reply.is_misdirected and not pool.retries.spend():
             return None
         pause = choose_pause(len(progress.tried), remaining, self._rng)
@@ -217,7 +221,7 @@
     async def _send(
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
-        """Sends a copy, and a second one where the first is slow."""
+        """Sends a copy, and a hedge if the first copy is slow."""
         delay = pool.response_times.high_quantile
         if not progress.call.idempotent or not delay:
             return await self._send_copy(pool, target, progress)
@@ -239,8 +243,8 @@
             or progress.call.is_disconnected()
         ):
             return None
-        # A copy for a service without free slots would only make the queue
-        # of the others longer.
+        # If the service has no free slots, a hedge would only delay the
+        # requests that wait for one.
         if pool.waiting or pool.hedges.balance < 1.0:
             return None
         other = pool.acquire(progress.tried, self._monotonic())
@@ -267,7 +271,7 @@
             self.pools.mark_leaving(
                 LeavingMark(upstream.worker, upstream.boot), 'itself'
             )
-        # What waits must not be given an upstream that left meanwhile.
+        # Waiting requests must not be assigned an upstream that has left.
         self.pools.refresh()
         pool.release(target, reply, began, self._monotonic())
         return reply
@@ -301,10 +305,10 @@
 async def _get_first_answer(
     first: asyncio.Task[Reply], second: asyncio.Task[Reply]
 ) -> Reply:
-    """Returns the first whole answer, or the last failure.
+    """Returns the first complete response, or the last failure.
 
     The slower copy is not cancelled: it occupies the upstream until it ends,
-    and is counted there for as long.
+    and is counted there until then.
     """
     done, pending = await asyncio.wait(
         {first, second}, return_when=asyncio.FIRST_COMPLETED
--- a/lentilmount/routing/target.py
+++ b/lentilmount/routing/target.py
@@ -1,4 +1,4 @@
-"""One upstream as this daemon's routing sees it."""
+"""Routing state of one upstream on this daemon."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from lentilmount.routing.latency import LatencyModel
 
 LOAD_AVERAGING_SECONDS = 0.5
-"""Time over which the load told to peers is averaged: one heartbeat."""
+"""Time over which the load reported to peers is averaged: one heartbeat."""
 
 
 class Target:
-    """An upstream's load, limit, latency and health.
+    """Load, limit, latency and health of an upstream.
 
     Attributes:
       upstream: The upstream.
-      own_in_flight: Requests that this daemon has there.
-      other_in_flight: Requests that the other daemons said they have there.
-      slots: Requests that it runs at once.
-      fair_share: Slots that are this daemon's if all daemons want some.
-      max_connections: Most connections of this daemon.
-      limit: What it takes without queueing, as learned.
-      latency: How long it takes at which load.
-      health: Whether it may be used.
+      own_in_flight: Number of this daemon's requests there.
+      other_in_flight: Number of other daemons' requests there, as reported.
+      slots: Number of requests that the upstream runs concurrently.
+      fair_share: This daemon's slots when all daemons send requests.
+      max_connections: Maximum connections of this daemon to the upstream.
+      limit: Adaptive limit of requests without queueing.
+      latency: Estimates of the response time by load.
+      health: Ejection state.
     """
 
     __slots__ = (
@@ -67,10 +67,10 @@
         return now - self._progress_at if self.own_in_flight else 0.0
 
     def get_request_limit(self) -> int:
-        """Returns how many requests this daemon may have here now.
+        """Returns the number of requests that this daemon may have here now.
 
-        The connection share is the hard end. Within it a daemon takes its
-        fair part of the slots, and more where the others leave some unused.
+        The connection limit is a hard bound. Within it a daemon uses its fair
+        share of the slots, and more if other daemons leave some unused.
         """
         if self.health.state is State.RETURNING:
             return min(1, self.max_connections)
@@ -78,40 +78,40 @@
         return min(self.max_connections, int(self.limit.value), room)
 
     def is_open(self) -> bool:
-        """Tells whether one more request may be sent."""
+        """Returns whether one more request may be sent."""
         return (
             self.own_in_flight < self.get_request_limit()
             and self.health.state is not State.EJECTED
         )
 
     def get_load(self) -> float:
-        """Returns the share of the slots in use, one more included."""
+        """Returns the share of the slots in use, including one more request."""
         return (self.own_in_flight + self.other_in_flight + 1.0) / self.slots
 
     def get_cost(self, default_seconds: float, now: float) -> float:
-        """Returns the expected seconds of one more request.
+        """Returns the expected response time of one more request, in seconds.
 
-        An upstream that has owed an answer for some time takes at least as
-        long; one that falls silent gives no other sign.
+        An upstream whose pending requests make no progress is expected to
+        take at least that long: it is the only sign that it has stalled.
         """
         expected = self.latency.estimate(self.get_load(), default_seconds, now)
         return max(expected, self.get_stalled_seconds(now))
 
     def begin(self, now: float) -> None:
-        """Takes note that a request is sent."""
+        """Records that a request is sent."""
         self._update_mean(now)
         if not self.own_in_flight:
             self._progress_at = now
         self.own_in_flight += 1
 
     def end(self, now: float) -> None:
-        """Takes note that a request is over."""
+        """Records that a request has ended."""
         self._update_mean(now)
         self.own_in_flight -= 1
         self._progress_at = now
 
     def observe(self, seconds: float, now: float) -> None:
-        """Takes in the time of an answer; called before `end`."""
+        """Records the time of a response; to be called before `end`."""
         self.limit.observe(seconds, self.own_in_flight, now)
         load = (self.own_in_flight + self.other_in_flight) / self.slots
         self.latency.observe(load, seconds, now)
@@ -126,17 +126,17 @@
         self._averaged_at = now
 
     def get_mean_in_flight(self, now: float) -> float:
-        """Returns the smoothed number of own requests, for peers."""
+        """Returns this daemon's smoothed number of requests, for peers."""
         self._update_mean(now)
         return self._mean_in_flight
 
     def resize(self, slots: int, max_connections: int) -> None:
-        """Takes in what the service declares now."""
+        """Applies the slots and connections of the current specification."""
         self.slots = slots
         self.max_connections = max_connections
         self.limit.ceiling = float(max(1, max_connections))
 
     def reset(self) -> None:
-        """Forgets what was learned, when it returns after an ejection."""
+        """Discards all estimates, when the upstream returns after ejection."""
         self.latency.forget()
         self.limit = AdaptiveLimit(self.limit.ceiling)
--- a/lentilmount/routing/teams.py
+++ b/lentilmount/routing/teams.py
@@ -1,4 +1,4 @@
-"""Limits of requests per team, so that one's wave leaves room for others."""
+"""Request rate limits of teams, which protect other teams from bursts."""
 
 from __future__ import annotations
 
@@ -7,26 +7,30 @@
 from lentilmount.errors import ErrorKind, UpstreamError
 
 BURST_SECONDS = 1.0
-"""Requests that may come at once, as seconds of the rate."""
+"""Size of a burst that is admitted, in seconds of the rate."""
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that fill up at a rate; a request takes one.
+    """A token bucket; each request takes one token.
 
     Attributes:
-      tokens: What is there, as of `updated_at`.
-      updated_at: Monotonic time.
+      tokens: Tokens available at `updated_at`.
+      updated_at: Monotonic time of the last update, in seconds.
     """
 
     tokens: float
     updated_at: float
 
     def take(self, rate: float, now: float) -> float:
-        """Takes a token.
+        """Takes a token if one is available.
+
+        Args:
+          rate: Tokens added per second.
+          now: Monotonic time in seconds.
 
         Returns:
-          0 if there was one, else the seconds until there is.
+          0 if a token was taken, else the seconds until one is available.
         """
         most = max(1.0, rate * BURST_SECONDS)
         self.tokens = min(most, self.tokens + (now - self.updated_at) * rate)
@@ -38,26 +42,26 @@
 
 
 class TeamLimits:
-    """One bucket for each team, on each daemon.
+    """Request rate limits of teams on this daemon, one bucket for each.
 
-    The platform's balancer spreads callers evenly, so each daemon allows the
-    team's rate divided by the daemons that are up.
+    The platform's load balancer spreads callers evenly, so each daemon admits
+    the team's rate divided by the number of daemons that are up.
     """
 
     def __init__(self) -> None:
         self._buckets: dict[str, TokenBucket] = {}
 
     def admit(self, team: str, rate: float, daemons: int, now: float) -> None:
-        """Lets a request in.
+        """Admits a request of a team.
 
         Args:
-          team: The team.
-          rate: Requests a second over all daemons.
-          daemons: Daemons that are up.
-          now: Monotonic time.
+          team: Name of the team.
+          rate: Requests per second over all daemons.
+          daemons: Number of daemons that are up.
+          now: Monotonic time in seconds.
 
         Raises:
-          UpstreamError: The team is over its limit.
+          UpstreamError: The team exceeds its rate limit.
         """
         share = rate / max(1, daemons)
         bucket = self._buckets.get(team)
@@ -67,7 +71,7 @@
         wait = bucket.take(share, now)
         if wait:
             raise UpstreamError(
-                f'team {team} is over its {rate:g} requests a second',
+                f'team {team} exceeds {rate:g} requests per second',
                 kind=ErrorKind.LIMITED,
                 retry_after=wait,
             )
