--- a/lentilmount/coordination/__init__.py
+++ b/lentilmount/coordination/__init__.py
@@ -1,4 +1,4 @@
 """Leases, fencing, idempotent transactions and membership over one table.
 
-A library of its own: it imports nothing else of lentilmount.
+A self-contained library: it imports nothing else from lentilmount.
 """
--- a/lentilmount/coordination/leases.py
+++ b/lentilmount/coordination/leases.py
@@ -1,9 +1,10 @@
 """Leases with epochs on rows of the table.
 
-Nobody compares clocks. A holder counts its lease from before it sent the
-write that renewed it; everybody else counts from when they first saw that
-write. Each takeover raises the epoch, and every write of the holder expects
-the version of the lease's row, so a holder that wakes up late writes nothing.
+Clocks of different processes are never compared. The holder counts its lease
+from before it sent the write that renewed it; other processes count from when
+they first read that write. Each takeover increases the epoch, and every write
+of the holder expects the version of the lease's row, so a holder that resumes
+after its lease has expired cannot write.
 """
 
 from __future__ import annotations
@@ -27,26 +28,27 @@
 from lentilmount.coordination.transactions import commit, make_token
 
 HasEnded = Callable[[str], bool]
-"""Whether the process that a holder's name belongs to has surely ended."""
+"""Returns whether the process with a holder's name has certainly ended."""
 
 
 CLOCK_DRIFT = 0.01
-"""Two monotonic clocks differ in rate by less than this share."""
+"""Upper bound of the relative difference in rate of two monotonic clocks."""
 
 
 class LeaseLostError(Exception):
-    """The lease is held by another, or may be."""
+    """The lease is held by another process, or may be."""
 
 
 @attrs.frozen
 class LeaseRecord:
-    """What a lease's row told before the lease was taken.
+    """Content of a lease's row before a takeover.
 
     Attributes:
-      data: What it carried beside its holder and epoch.
-      holder: Who held it, or '' where it was given up or never held.
-      epoch: The last holder's; 0 if there was none.
-      seen_at: Monotonic time by which it had surely been written.
+      data: Data of the row, apart from its holder and epoch.
+      holder: Previous holder, or '' if the lease was released or never held.
+      epoch: Epoch of the previous holder; 0 if there was none.
+      seen_at: Monotonic time in seconds by which the row had certainly been
+        written.
     """
 
     data: dict[str, Any]
@@ -56,17 +58,23 @@
 
 
 UpdateData = Callable[[LeaseRecord], dict[str, Any]]
-"""Makes a lease's data at a takeover from what the row told."""
+"""Returns a lease's data at a takeover, given the previous row."""
 
 
 def copy_data(record: LeaseRecord) -> dict[str, Any]:
-    """Leaves a lease's data as they are."""
+    """Returns the previous data of a lease unchanged."""
     return dict(record.data)
 
 
 @attrs.frozen
 class Renewal:
-    """A write of a lease's row: its token, when it was first sent, the row."""
+    """A write that renews a lease.
+
+    Attributes:
+      token: Token of the transaction.
+      sent_at: Monotonic time before it was first sent, in seconds.
+      put: Write of the lease's row.
+    """
 
     token: str
     sent_at: float
@@ -75,17 +83,18 @@
 
 @attrs.define
 class Lease:
-    """A lease that this process holds, as far as it knows.
+    """A lease that this process acquired and has not found lost.
 
     Attributes:
-      key: The lease's row.
-      holder: Who holds it.
-      epoch: Raised by each takeover; the fencing token.
-      version: Version of the row after our last write.
-      renewed_at: Monotonic time before the last write that renewed it.
-      valid_until: Monotonic time up to which nobody else can have taken it.
-      data: What else the row carries.
-      unconfirmed: The last write, as long as its fate is not known.
+      key: Key of the lease's row.
+      holder: Name of the holder.
+      epoch: Fencing token; increases with each takeover.
+      version: Version of the row after the last write of this process.
+      renewed_at: Monotonic time before the last renewal was sent, in seconds.
+      valid_until: Monotonic time until which no other process can have taken
+        the lease, in seconds.
+      data: Further data in the row.
+      unconfirmed: The last write, while it is unknown whether it was applied.
     """
 
     key: Key
@@ -98,13 +107,13 @@
     unconfirmed: Renewal | None = None
 
     def make_put(self) -> Put:
-        """Returns the write that renews the lease; put it in a transaction."""
+        """Returns the write that renews the lease, for use in a transaction."""
         data = dict(self.data)
         body = {'holder': self.holder, 'epoch': self.epoch, 'data': data}
         return Put(self.key, body, self.version)
 
     def make_check(self) -> Check:
-        """Returns the condition that the lease is still ours."""
+        """Returns the condition that the lease is still held."""
         return Check(self.key, self.version)
 
 
@@ -112,12 +121,12 @@
     """Acquires, renews and releases leases for one holder.
 
     Args:
-      table: Where the leases are.
-      holder: A name no other process ever has (name and incarnation).
-      duration: Seconds a lease is good for without renewal.
-      monotonic: The clock for durations.
-      has_ended: Tells of other holders whether their processes have ended;
-        their leases need not be waited for.
+      table: Table that stores the leases.
+      holder: Globally unique name of this process (name and incarnation).
+      duration: Seconds for which a lease is valid without renewal.
+      monotonic: Returns the monotonic time in seconds.
+      has_ended: Returns whether another holder's process has ended; its leases
+        can be taken without waiting.
     """
 
     def __init__(
@@ -139,30 +148,30 @@
     async def try_acquire(
         self, key: Key, update_data: UpdateData = copy_data, delay: float = 0.0
     ) -> Lease | None:
-        """Takes a lease if it is free or surely lapsed.
+        """Acquires a lease if it is free or has certainly expired.
 
-        A lease that this keeper held before is taken at once, with a higher
-        epoch, so that writes of its earlier use fail.
+        A lease that this keeper held before is acquired at once, with a higher
+        epoch, so that writes under the earlier epoch fail.
 
         Args:
-          key: The lease's row.
-          update_data: Gives the row's data after the takeover from those
-            before; what others must know of a holder has to be in its first
-            write.
-          delay: Seconds for which a free lease is left to others.
+          key: Key of the lease's row.
+          update_data: Returns the data to store at the takeover, given the
+            previous row; data that other processes need from a holder has to
+            be in its first write.
+          delay: Seconds for which a free lease is left to other processes.
 
         Returns:
-          The lease, or None where another holds it.
+          The lease, or None if another process holds it.
 
         Raises:
-          UnavailableError: The table does not answer.
+          UnavailableError: The table does not respond.
         """
         try:
             rows = await self._table.read([key])
         except UnavailableError:
-            # While the table was away nobody could renew. Without this the
-            # holder would seem lapsed when it comes back, and lose its lease
-            # to whoever happens to be answered first.
+            # While the table is unavailable no holder can renew. If the time
+            # of the outage counted, the lease would seem expired afterwards
+            # and go to the first process that reads the table.
             self._observed.pop(key, None)
             self._with_observed_writes.discard(key)
             raise
@@ -175,7 +184,7 @@
         update_data: UpdateData = copy_data,
         delay: float = 0.0,
     ) -> Lease | None:
-        """Takes a lease whose row was just read; see `try_acquire`."""
+        """Acquires a lease whose row was just read; see `try_acquire`."""
         if not self._is_free(key, row, delay):
             return None
         lease = Lease(
@@ -206,11 +215,11 @@
         )
 
     def has_observed_last_write(self, key: Key) -> bool:
-        """Tells whether the last holder's writes were followed to the end.
+        """Returns whether the last holder's writes were observed to the end.
 
-        It is so if the holder gave the lease up, or was seen to renew it with
-        no failed reading since; if not, the holder may have acted on without
-        the table.
+        This is so if the holder released the lease, or was seen to renew it
+        and no read has failed since. Otherwise the holder may have continued
+        to work without the table.
         """
         return key in self._with_observed_writes
 
@@ -227,7 +236,7 @@
         return self._measure_unchanged_seconds(key, row) > wait
 
     def _measure_unchanged_seconds(self, key: Key, row: Row | None) -> float:
-        """Returns for how long a lease's row was seen unchanged, in seconds."""
+        """Returns the seconds for which a lease's row was seen unchanged."""
         now = self._monotonic()
         version = ABSENT if row is None else row.version
         known = self._observed.get(key)
@@ -246,16 +255,23 @@
     ) -> None:
         """Writes the lease's row and `operations` in one transaction.
 
+        Args:
+          lease: The lease to renew.
+          operations: Further operations of the transaction.
+          token: Token of the transaction; a new one if empty.
+
         Raises:
-          LeaseLostError: Another took the lease; nothing was written.
-          ConflictError: Another row conflicted; the lease is still ours.
-          UnavailableError: It is not known whether it was applied. Call
-            again with the same token and operations before anything else.
+          LeaseLostError: Another process took the lease; nothing was written.
+          ConflictError: Another row conflicted; the lease is still held.
+          UnavailableError: It is unknown whether the transaction was applied.
+            Call again with the same token and operations before any other
+            write.
         """
-        # A write sent again may have taken effect the first time. Counted
-        # from the last time, the holder would believe in its lease for longer
-        # than those do who saw the first write.
-        # And it has to be the same write, whatever became of the data since.
+        # A resent write may have been applied the first time, so the lease
+        # counts from the first time it was sent. Counted from the last time,
+        # the holder would trust its lease for longer than the processes that
+        # read the first write.
+        # A resent write must be identical, even if the data changed since.
         token = token or make_token()
         renewal = lease.unconfirmed
         if renewal is None or renewal.token != token:
@@ -278,10 +294,10 @@
         lease.valid_until = renewal.sent_at + self._duration
 
     async def release(self, lease: Lease) -> bool:
-        """Gives the lease up, so that another need not wait for its end.
+        """Releases the lease, so that others need not wait for its expiry.
 
         Returns:
-          Whether that is known to have been written.
+          Whether the release is known to have been written.
         """
         body = {'holder': '', 'epoch': lease.epoch, 'data': lease.data}
         try:
--- a/lentilmount/coordination/membership.py
+++ b/lentilmount/coordination/membership.py
@@ -1,11 +1,11 @@
-"""Who is there: beats of each process, judged by silence.
+"""Membership: detects failed processes by missing heartbeats.
 
 Each process has a name, an incarnation that is higher after each start, and
-a beat that it raises with every heartbeat. News with a lower incarnation or
-beat than what is known is old and ignored, so that a paused or replaced
-process never speaks for its successor. A newer beat counts whichever path it
-came by: a dead process makes no new ones, so two others that repeat its last
-beat to each other cannot keep it up.
+a beat that increases with every heartbeat. An update with a lower incarnation
+or beat than the known one is outdated and ignored, so that a paused or
+replaced process cannot override its successor. A newer beat counts on
+whichever path it arrives: a failed process makes no new beats, so two others
+that forward its last beat to each other do not keep it up.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 import xxhash
 
 REMOTE_ZONE_FACTOR = 2.0
-"""Factor on the silence for other zones, whose beats come by more hops."""
+"""Factor on the timeout for other zones, whose beats take more hops."""
 
 DIRECT_SILENCE_SHARE = 0.4
-"""Share of the silence after which a member of the zone that is not heard
-straight is asked of others: early enough for their answer to come in time."""
+"""Share of the timeout after which, without a direct heartbeat, other members
+are asked about a member of the zone: early enough for their answer to arrive
+within the timeout."""
 
 MAX_REMEMBERED = 4096
-"""Most names of which the newest age is kept after they are forgotten."""
+"""Maximum names whose newest age is kept, including forgotten members."""
 
 
 @attrs.frozen
 class Member:
-    """A process as it describes itself.
+    """Description of a process, as published by itself.
 
     Attributes:
-      name: Its name, which a replacement keeps or not.
-      zone: Its availability zone.
-      address: IP number and port where peers reach it.
+      name: Name of the process; a replacement may keep it.
+      zone: Availability zone of the process.
+      address: IP address and port where peers reach it.
       incarnation: Higher after each start.
-      beat: Raised with each heartbeat.
-      stopping: Whether it is shutting down.
+      beat: Increases with each heartbeat.
+      stopping: Whether the process is shutting down.
       eligible: Whether it may own leases: it reaches the table and was not
-        paused lately.
+        paused recently.
     """
 
     name: str
@@ -53,12 +54,12 @@
 
     @property
     def age(self) -> tuple[int, int]:
-        """Orders what is known of one name by time."""
+        """Sort key that orders the updates of one name by time."""
         return (self.incarnation, self.beat)
 
     @property
     def id(self) -> int:
-        """A number for this incarnation, the same in every process."""
+        """Numeric id of this incarnation, the same in every process."""
         return _make_id(self.name, self.incarnation)
 
 
@@ -70,11 +71,11 @@
 
 @attrs.frozen
 class MemberUpdate:
-    """What changes of a member within one incarnation.
+    """Fields of a member that change within one incarnation.
 
     Attributes:
-      id: The member's id.
-      beat: Its beat.
+      id: Id of the member.
+      beat: See `Member`.
       stopping: See `Member`.
       eligible: See `Member`.
     """
@@ -86,22 +87,23 @@
 
 
 class Membership:
-    """What this process knows of the others.
+    """Membership as seen by this process.
 
-    A member is up here while its newer beats arrive, by any path. So with a
-    one-way cut the two ends can differ: the one that is heard is up for the
-    other and not the other way round. Nothing unsafe follows, as ownership
-    is decided by leases; it only decides who tries first.
+    A member is up while newer beats of it arrive, on any path. If messages
+    are lost in one direction only, the two ends can differ: the member whose
+    beats arrive is up for the other one, but not vice versa. This is safe,
+    as leases decide ownership; membership only decides who tries first.
 
     Args:
-      local_member: This process.
-      silence: Seconds without news after which a member counts as down.
-      monotonic: The clock for durations.
-      forget: Seconds without news after which a member is forgotten.
+      local_member: Description of this process.
+      timeout: Seconds without a newer beat after which a member is down.
+      monotonic: Returns the monotonic time in seconds.
+      forget: Seconds without an update after which a member is forgotten.
 
     Attributes:
-      local_member: This process as it describes itself.
-      name_conflict: Newer news under this process's own name, or None.
+      local_member: Description of this process.
+      name_conflict: Another process with this process's name and an
+        incarnation at least as high, or None.
     """
 
     def __init__(
@@ -127,7 +129,7 @@
         )
 
     def advance_beat(self) -> Member:
-        """Raises this process's own beat."""
+        """Increments the beat of this process and returns its description."""
         self.local_member = attrs.evolve(
             self.local_member, beat=self.local_member.beat + 1
         )
@@ -138,14 +140,14 @@
         self.local_member = attrs.evolve(self.local_member, stopping=True)
 
     def set_eligible(self, eligible: bool) -> None:
-        """Marks whether this process may own leases."""
+        """Sets whether this process may own leases."""
         self.local_member = attrs.evolve(self.local_member, eligible=eligible)
 
     def raise_incarnation_above(self, incarnation: int) -> None:
-        """Raises this process's incarnation above that of a predecessor.
+        """Raises the incarnation of this process above that of a predecessor.
 
-        A replacement whose clock is behind starts below the incarnation of
-        the process that it replaces; its news would be taken for old.
+        A replacement whose clock is behind starts with a lower incarnation
+        than the process that it replaces; its updates would be ignored.
         """
         if incarnation >= self.local_member.incarnation:
             self.local_member = attrs.evolve(
@@ -154,16 +156,16 @@
         self.name_conflict = None
 
     def observe_direct(self, member: Member) -> None:
-        """Takes in what a member says of itself, straight."""
+        """Records a heartbeat that came directly from the member."""
         self.observe([member], member.zone)
         self._heard_directly_at[member.name] = self._monotonic()
 
     def observe(self, members: Iterable[Member], source_zone: str = '') -> None:
-        """Takes in what is said of members.
+        """Records updates of members.
 
         Args:
-          members: The members.
-          source_zone: Availability zone of who said it.
+          members: Descriptions of members; outdated ones are ignored.
+          source_zone: Availability zone of the sender.
         """
         for member in members:
             if self._is_newer(member):
@@ -174,7 +176,7 @@
     def advance(
         self, beats: Iterable[MemberUpdate], source_zone: str = ''
     ) -> None:
-        """Takes in newer beats of members that are known; see `observe`."""
+        """Records newer beats of known members; see `observe`."""
         for beat in beats:
             known = self._members.get(self._names.get(beat.id, ''))
             if known is None or beat.beat <= known.beat:
@@ -188,7 +190,7 @@
             self.observe([member], source_zone)
 
     def add_listed(self, members: Iterable[Member]) -> None:
-        """Takes in names from a list; it says nothing of who is up."""
+        """Adds members of a stored list, which does not say who is up."""
         for member in members:
             known = self._ages.get(member.name, (-1, 0))
             forgotten = member.name not in self._members
@@ -244,17 +246,20 @@
         self._source_zones.pop(member.name, None)
 
     def forget(self) -> None:
-        """Drops members of which nothing was heard for long."""
+        """Removes members without an update for a long time."""
         horizon = self._monotonic() - self._forget
         for member in self.list_known():
             if self._updated_at[member.name] < horizon:
                 self._remove(member)
 
     def compensate_pause(self, seconds: float) -> None:
-        """Takes note that this process stood still.
+        """Excludes a pause of this process from the times of heartbeats.
 
-        A process that stood still heard nobody. Without this it would take
-        every other for down when it wakes, and itself for the only one.
+        A paused process receives no heartbeats. Otherwise it would consider
+        all other members down when it resumes.
+
+        Args:
+          seconds: Duration of the pause.
         """
         now = self._monotonic()
         for times in (
@@ -266,11 +271,11 @@
                 times[name] = min(now, heard + seconds)
 
     def list_known(self) -> list[Member]:
-        """Returns every other member that is not forgotten."""
+        """Returns all other members that are not forgotten."""
         return list(self._members.values())
 
     def is_up(self, name: str) -> bool:
-        """Tells whether a member was heard of lately."""
+        """Returns whether a newer beat of a member arrived recently."""
         if name == self.local_member.name:
             return True
         heard = self._heard_at.get(name)
@@ -281,7 +286,7 @@
         return self._monotonic() - heard <= silence
 
     def list_alive(self) -> list[Member]:
-        """Returns the other members that are up, those that stop as well."""
+        """Returns the other members that are up, including stopping ones."""
         now, zone = self._monotonic(), self.local_member.zone
         near = now - self._timeout
         far = now - self._timeout * REMOTE_ZONE_FACTOR
@@ -292,7 +297,7 @@
         ]
 
     def list_not_heard_directly(self) -> list[Member]:
-        """Returns the members of this zone that are not heard straight."""
+        """Returns the members of this zone without recent direct heartbeats."""
         horizon = self._monotonic() - self._timeout * DIRECT_SILENCE_SHARE
         return [
             member
@@ -302,11 +307,11 @@
         ]
 
     def get_source_zone(self, name: str) -> str:
-        """Returns the zone from which a member's newest beat came."""
+        """Returns the zone from which a member's newest beat was received."""
         return self._source_zones.get(name, '')
 
     def list_active(self, zone: str = '') -> list[Member]:
-        """Returns members that are up and staying, this one included."""
+        """Returns members that are up and not stopping, including this one."""
         return [
             member
             for member in (self.local_member, *self.list_alive())
--- a/lentilmount/coordination/mesh.py
+++ b/lentilmount/coordination/mesh.py
@@ -1,8 +1,8 @@
-"""Which members exchange heartbeats straight: all within a zone, few between.
+"""Chooses the members that exchange heartbeats directly.
 
-A full mesh costs each process a message for each other one. Within an
-availability zone it is worth that, as ownership is decided there and silence
-has to be noticed fast. Between two zones a few links carry the beats of all.
+In a full mesh each process sends a message to each other one. This is used
+within an availability zone, where ownership is decided and failures have to be
+detected fast. Between two zones a few links carry the beats of all members.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def _rank(members: Iterable[Member], key: str) -> list[Member]:
-    """Orders by rendezvous hash (Thaler and Ravishankar, 1996)."""
+    """Sorts members by rendezvous hash (Thaler and Ravishankar, 1996)."""
     return sorted(
         members,
         key=lambda m: xxhash.xxh64_intdigest(f'{key}\0{m.name}'.encode()),
@@ -23,11 +23,11 @@
 
 
 def choose_peers(membership: Membership, links: int) -> list[Member]:
-    """Returns the members that this process keeps a stream with.
+    """Returns the members with which this process keeps a heartbeat stream.
 
     Args:
-      membership: What this process knows.
-      links: How many streams join two zones.
+      membership: Membership as seen by this process.
+      links: Number of streams between two zones.
     """
     me = membership.local_member
     known = membership.list_known()
@@ -44,8 +44,8 @@
     me = membership.local_member
     up = [member for member in remote_members if membership.is_up(member.name)]
     if not up:
-        # A zone of which nothing is heard may be cut off; whichever of its
-        # members answers first brings the others.
+        # A zone without any member up may be partitioned; the first of its
+        # members that responds forwards the beats of the others.
         return list(remote_members)
     key = '/'.join(sorted((me.zone, up[0].zone)))
     here = [m for m in membership.list_known() if m.zone == me.zone]
--- a/lentilmount/coordination/table.py
+++ b/lentilmount/coordination/table.py
@@ -1,7 +1,7 @@
-"""The transactional table that everything here stands on.
+"""Interface of the transactional table that leases are built on.
 
-A row has a key, a body, a version that each write raises by one, and the
-token of the transaction that wrote it last.
+A row has a key, a body, a version that each write increments, and the token
+of the transaction that last wrote it.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 """Expected version of a row that must not exist."""
 
 MAX_OPERATIONS = 100
-"""Most operations in one transaction (a limit of the platform's service)."""
+"""Maximum operations in a transaction (a limit of the platform's service)."""
 
 
 class TableError(Exception):
-    """Base of what a table can raise."""
+    """Base class of the errors of a table."""
 
 
 class ConflictError(TableError):
     """A condition did not hold; nothing was written.
 
     Attributes:
-      keys: The rows whose condition failed.
+      keys: Keys of the rows whose condition failed.
     """
 
     def __init__(self, keys: tuple[Key, ...]):
@@ -35,12 +35,12 @@
 
 
 class UnavailableError(TableError):
-    """No answer; a write may or may not have taken effect, even later."""
+    """No response; a write may or may not be applied, now or later."""
 
 
 @attrs.frozen(order=True)
 class Key:
-    """Names a row: a partition, and a sort key within it."""
+    """Key of a row: a partition, and a sort key within it."""
 
     partition: str
     sort: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class Check:
-    """Writes nothing, but the version must be as expected."""
+    """Requires that a row's version is as expected, without writing it."""
 
     key: Key
     expected: int
@@ -92,7 +92,7 @@
     """The platform's table service."""
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
-        """Reads rows in one consistent view; absent ones are left out."""
+        """Reads rows in one consistent view; omits rows that do not exist."""
 
     async def scan(
         self, partition: str, after: str = '', limit: int = 1000
@@ -104,13 +104,17 @@
     ) -> int | None:
         """Applies all operations or none.
 
+        Args:
+          token: Token of the transaction.
+          operations: Operations to apply.
+
         Returns:
-          The version that every row written has now, or None where the table
-          raises the version of each row by one.
+          The new version of every row written, or None if the table
+          increments the version of each row.
 
         Raises:
           ConflictError: A condition did not hold.
-          UnavailableError: It is not known whether it was applied.
+          UnavailableError: It is unknown whether the operations were applied.
         """
 
 
--- a/lentilmount/coordination/transactions.py
+++ b/lentilmount/coordination/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that are applied once, whatever happens to the answer."""
+"""Transactions that are applied exactly once, even if responses are lost."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_token() -> str:
-    """Returns a token that no other transaction has."""
+    """Returns a unique token for a transaction."""
     return uuid.uuid4().hex
 
 
@@ -30,27 +30,30 @@
     token: str = '',
     attempts: int = 4,
 ) -> int:
-    """Applies a transaction once, through lost answers.
+    """Applies a transaction exactly once, even if responses are lost.
 
-    An answer can be lost after the write took effect, and a write can take
-    effect after it was given up; reading back and seeing nothing proves
-    nothing. So the same transaction is sent again, unchanged: each of its
-    writes raises the version it expects, so at most one copy can apply. When
-    a copy conflicts, the witness tells whose write came first.
+    A response can be lost after the write was applied, and a write can be
+    applied after its sender gave up, so reading back and finding nothing
+    proves nothing. The same transaction is therefore sent again, unchanged:
+    each of its writes increments the version it expects, so at most one copy
+    can be applied. If a copy conflicts, the token in `token_row` shows whether
+    an earlier copy was applied.
 
     Args:
-      table: Where to write.
-      operations: What to write; must put `token_row`.
-      token_row: A row that no other writer overwrites without checking the
-        same version, so its token says whether this transaction applied.
-      token: The transaction's token; a new one if empty.
-      attempts: How often to send.
+      table: Table to write to.
+      operations: Operations of the transaction; must include a put of
+        `token_row`.
+      token_row: Key of a row that no other writer overwrites without checking
+        the same version, so its token shows whether this transaction was
+        applied.
+      token: Token of the transaction; a new one if empty.
+      attempts: Maximum number of times to send it.
 
     Returns:
-      The version that the witness has now.
+      The new version of `token_row`.
 
     Raises:
-      ConflictError: It was not applied and never will be.
+      ConflictError: The transaction was not applied and never will be.
       UnavailableError: Still unknown after all attempts.
     """
     token = token or make_token()
