--- a/lentilmount/upstream/hosts.py
+++ b/lentilmount/upstream/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list, as Prometheus HTTP service discovery."""
+"""Client for the platform's host list (Prometheus HTTP service discovery)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class Host:
-    """A host of the list; the list lags behind the truth.
+    """A host of the host list, which lags behind the actual state.
 
     Attributes:
-      name: The worker's name.
-      address: IP number and port of its API.
-      zone: Its availability zone.
-      rack: Its rack.
-      leaving: Whether it is going away.
+      name: Name of the worker.
+      address: IP address and port of the worker's API.
+      zone: Availability zone of the host.
+      rack: Rack of the host.
+      leaving: Whether the host is about to be removed.
     """
 
     name: str
@@ -34,11 +34,11 @@
     """The platform's host list."""
 
     async def list_hosts(self) -> list[Host]:
-        """Reads the whole list; the same object while it has not changed."""
+        """Reads the whole list; returns the same object if it is unchanged."""
 
 
 def parse_hosts(groups: list[Any]) -> list[Host]:
-    """Reads target groups of the protocol."""
+    """Parses the target groups of the protocol."""
     return [
         Host(
             name=group['labels']['name'],
@@ -63,13 +63,13 @@
     async def list_hosts(self) -> list[Host]:
         """See `HostList`."""
         headers = {'If-None-Match': self._etag} if self._etag else None
-        answer = await self._caller.call('GET', '/v1/hosts', headers=headers)
-        if answer.status == 304:
+        response = await self._caller.call('GET', '/v1/hosts', headers=headers)
+        if response.status == 304:
             return self._hosts
-        if answer.status != 200:
-            raise StoreError(f'host list: HTTP status {answer.status}')
-        self._hosts = parse_hosts(json.loads(answer.body))
-        self._etag = answer.headers.get('Etag', '')
+        if response.status != 200:
+            raise StoreError(f'host list: HTTP status {response.status}')
+        self._hosts = parse_hosts(json.loads(response.body))
+        self._etag = response.headers.get('Etag', '')
         return self._hosts
 
     def close(self) -> None:
--- a/lentilmount/upstream/http.py
+++ b/lentilmount/upstream/http.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over HTTP, by the curl client."""
+"""HTTP client for the platform's services, based on libcurl."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 SUPPRESSED_HEADERS = {'User-Agent': '', 'Accept': ''}
 """Headers that curl adds unless they are given empty. With Accept-Encoding
-they were 91 of the 289 bytes of a look at a worker. An owner of 245 workers
-makes up to 2,200 calls a second: 1.6 Mbit/s that no service here reads."""
+they took 91 of the 289 bytes of a poll of a worker. An owner of 245 workers
+makes up to 2,200 calls per second: 1.6 Mbit/s that no service here reads."""
 
 
 @attrs.frozen
 class HttpResponse:
-    """An HTTP answer; status 599 where there was none."""
+    """An HTTP response; its status is 599 if there was none."""
 
     status: int
     body: bytes
@@ -29,26 +29,27 @@
 
 
 class _Client(CurlAsyncHTTPClient):
-    """A curl client whose transfers can be ended from outside."""
+    """A curl client whose transfers can be aborted."""
 
     def end_transfer(self, curl: pycurl.Curl, reason: str) -> None:
-        """Fails a transfer as if it had run into its timeout."""
+        """Fails a transfer as if it had timed out."""
         self._finish(curl, pycurl.E_OPERATION_TIMEDOUT, reason)
         self._process_queue()
 
 
 @attrs.define
 class _StallDetector:
-    """Ends a transfer of which nothing arrives any more.
+    """Aborts a transfer that has stalled.
 
-    A timeout for the whole of a long answer cannot tell a small link from a
-    silent service. It cut answers that were half there, again and again: a
-    host kept to an old configuration for as long as the new one took longer to
-    arrive than a call may take. Here only silence counts.
+    A timeout for a long response as a whole cannot distinguish a slow link
+    from a service that does not respond. It aborted partial responses over and
+    over: a host kept an old configuration as long as the new one took longer
+    to transfer than the timeout of a call. Here only the time without received
+    bytes counts.
 
     Attributes:
-      client: Whose transfer it is.
-      seconds: Longest time without a byte.
+      client: Client that runs the transfer.
+      seconds: Timeout without received bytes, in seconds.
     """
 
     client: _Client
@@ -59,9 +60,9 @@
     _timer: asyncio.TimerHandle | None = None
 
     def begin(self, curl: pycurl.Curl) -> None:
-        """Watches the transfer for which a handle was just set up."""
+        """Starts to monitor the transfer for which a handle was set up."""
         self._curl = curl
-        # The client gives a handle a new one with each transfer.
+        # The client replaces `info` of a handle with each transfer.
         self._transfer = curl.info
         self._wait()
 
@@ -82,7 +83,7 @@
         self.client.end_transfer(curl, reason)
 
     def end(self) -> None:
-        """Stops watching."""
+        """Stops monitoring."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -92,9 +93,10 @@
 
     Args:
       base: Scheme, host and port, such as http://127.0.0.1:7001.
-      timeout: Seconds for a whole call.
-      clients: Most calls at once.
-      authority: PEM file of the authority to trust; the system's if empty.
+      timeout: Timeout of a call, in seconds.
+      clients: Maximum concurrent calls.
+      ca_file: PEM file of the certificate authority to trust; the system's
+        authorities if empty.
     """
 
     def __init__(
@@ -122,21 +124,21 @@
         """Sends one request; never raises for a status or a failure.
 
         Args:
-          method: The HTTP method.
+          method: HTTP method.
           path: Path and query.
-          body: Body, if any.
-          headers: Headers, if any.
-          timeout: Seconds for the call; the caller's own if None.
-          base: Another base address, so that one caller and its connections
-            serve many upstreams.
-          total_timeout: Seconds for the call as long as its answer keeps
-            arriving; `timeout` is then the longest silence.
+          body: Request body, if any.
+          headers: Request headers, if any.
+          timeout: Timeout of the call in seconds; the client's own if None.
+          base: Another base address, so that one client and its connections
+            can call many services.
+          total_timeout: Timeout of the whole call in seconds; if given,
+            `timeout` bounds only the time without received bytes.
         """
-        silence = timeout or self.timeout
+        call_timeout = timeout or self.timeout
         stall_detector = (
             None
             if total_timeout is None
-            else _StallDetector(self._client, silence)
+            else _StallDetector(self._client, call_timeout)
         )
         request = HTTPRequest(
             (self.base if base is None else base) + path,
@@ -144,7 +146,9 @@
             body=body,
             headers={**SUPPRESSED_HEADERS, **(headers or {})},
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=silence if total_timeout is None else total_timeout,
+            request_timeout=call_timeout
+            if total_timeout is None
+            else total_timeout,
             prepare_curl_callback=stall_detector.begin
             if stall_detector
             else None,
@@ -167,5 +171,5 @@
         )
 
     def close(self) -> None:
-        """Closes the client's connections."""
+        """Closes the connections."""
         self._client.close()
--- a/lentilmount/upstream/object_store.py
+++ b/lentilmount/upstream/object_store.py
@@ -1,4 +1,4 @@
-"""The platform's object store, over the S3 REST protocol."""
+"""Client for the platform's object store (S3 REST protocol)."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     """The platform's object store."""
 
     async def put(self, name: str, data: bytes) -> None:
-        """Writes an object whole."""
+        """Writes a complete object."""
 
     async def get(self, name: str) -> bytes | None:
-        """Reads an object, or None where there is none."""
+        """Reads an object; returns None if there is none."""
 
 
 class HttpObjectStore:
@@ -29,18 +29,18 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """See `ObjectStore`."""
-        answer = await self._caller.call('PUT', self._path(name), data)
-        if answer.status != 200:
-            raise StoreError(f'object {name}: HTTP status {answer.status}')
+        response = await self._caller.call('PUT', self._path(name), data)
+        if response.status != 200:
+            raise StoreError(f'object {name}: HTTP status {response.status}')
 
     async def get(self, name: str) -> bytes | None:
         """See `ObjectStore`."""
-        answer = await self._caller.call('GET', self._path(name))
-        if answer.status == 404:
+        response = await self._caller.call('GET', self._path(name))
+        if response.status == 404:
             return None
-        if answer.status != 200:
-            raise StoreError(f'object {name}: HTTP status {answer.status}')
-        return answer.body
+        if response.status != 200:
+            raise StoreError(f'object {name}: HTTP status {response.status}')
+        return response.body
 
     def _path(self, name: str) -> str:
         return f'/{BUCKET}/{quote(name)}'
--- a/lentilmount/upstream/table.py
+++ b/lentilmount/upstream/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service, over the DynamoDB JSON protocol.
+"""Client for the platform's table service (DynamoDB JSON protocol).
 
 One table; its partition key is `p` and its sort key `s`. The other
 attributes are the version `v`, the last transaction's token `t`, and the
@@ -30,12 +30,12 @@
 
 
 def make_key(key: Key) -> dict[str, Any]:
-    """Builds the protocol's form of a key."""
+    """Encodes a key for the protocol."""
     return {'p': {'S': key.partition}, 's': {'S': key.sort}}
 
 
 def make_item(key: Key, version: int, token: str, body: Any) -> dict[str, Any]:
-    """Builds the protocol's form of a row."""
+    """Encodes a row for the protocol."""
     return {
         **make_key(key),
         'v': {'N': str(version)},
@@ -45,7 +45,7 @@
 
 
 def parse_item(item: dict[str, Any]) -> Row:
-    """Reads the protocol's form of a row."""
+    """Decodes a row of the protocol."""
     return Row(
         Key(item['p']['S'], item['s']['S']),
         int(item['v']['N']),
@@ -113,8 +113,8 @@
         }
         if after:
             request['ExclusiveStartKey'] = make_key(Key(partition, after))
-        answer = await self._call('Query', request)
-        return [parse_item(item) for item in answer['Items']]
+        response = await self._call('Query', request)
+        return [parse_item(item) for item in response['Items']]
 
     async def transact(self, token: str, operations: list[Operation]) -> None:
         """See `Table`."""
@@ -122,8 +122,8 @@
             'ClientRequestToken': token,
             'TransactItems': [_make_write(token, op) for op in operations],
         }
-        answer = await self._call('TransactWriteItems', request)
-        reasons = answer.get('CancellationReasons')
+        response = await self._call('TransactWriteItems', request)
+        reasons = response.get('CancellationReasons')
         if reasons is None:
             return
         failed = tuple(
@@ -134,17 +134,17 @@
         raise ConflictError(failed)
 
     async def _call(self, name: str, request: Any) -> dict[str, Any]:
-        answer = await self._caller.call(
+        response = await self._caller.call(
             'POST',
             '/',
             json.dumps(request).encode(),
             {'Content-Type': CONTENT_TYPE, 'X-Amz-Target': TARGET + name},
         )
-        cancelled = b'TransactionCanceledException' in answer.body
-        if answer.status == 200 or (answer.status == 400 and cancelled):
-            result: dict[str, Any] = json.loads(answer.body)
+        cancelled = b'TransactionCanceledException' in response.body
+        if response.status == 200 or (response.status == 400 and cancelled):
+            result: dict[str, Any] = json.loads(response.body)
             return result
-        raise UnavailableError(f'{name}: HTTP status {answer.status}')
+        raise UnavailableError(f'{name}: HTTP status {response.status}')
 
     def close(self) -> None:
         """Closes the connections."""
--- a/lentilmount/upstream/workers.py
+++ b/lentilmount/upstream/workers.py
@@ -1,10 +1,10 @@
-"""What the platform's workers are asked, and what they answer.
+"""Client and messages of the API of the platform's workers.
 
-One call, `sync`, carries any number of operations to a worker and brings
-back its state, so that a daemon pays one call per worker and interval.
-Every operation carries the owner's epoch, which the worker compares with the
-highest it has seen, and times on the worker's own monotonic clock, so that
-one delayed in the network or by a paused daemon has no late effect.
+One call, `sync`, sends any number of commands to a worker and returns its
+state, so that a daemon needs one call per worker and interval. Each request
+carries the owner's epoch, which the worker compares with the highest one it
+has seen, and times on the worker's own monotonic clock, so that a command
+delayed by the network or by a paused daemon has no late effect.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Action(enum.Enum):
-    """What a worker can be asked to do with an attempt."""
+    """Action of a command on an attempt."""
 
     START = 'start'
     RENEW = 'renew'
@@ -34,7 +34,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a worker answers to one operation."""
+    """Result of a command, as reported by the worker."""
 
     DONE = 'done'
     LATE = 'late'
@@ -44,7 +44,7 @@
 
 
 class AttemptState(enum.Enum):
-    """How an attempt stands on its worker."""
+    """State of an attempt on its worker."""
 
     RUNNING = 'running'
     FINISHED = 'finished'
@@ -55,20 +55,23 @@
 
 @attrs.frozen
 class Command:
-    """One operation on one attempt.
+    """A command on one attempt.
 
     Attributes:
-      action: What to do.
-      task: The task's id, as kind/team/name/index.
-      attempt: The attempt's number.
-      lease_until: Worker's monotonic time when the lease ends unless renewed.
-      not_after: Worker's monotonic time after which this is to be ignored.
-      demand: For start: what the attempt may take.
-      job_class: For start: what kind of work it is.
+      action: Action to perform.
+      task: Id of the task, as kind/team/name/index.
+      attempt: Number of the attempt.
+      lease_until: Worker's monotonic time at which the lease expires unless
+        renewed, in seconds.
+      not_after: Worker's monotonic time after which the command is ignored, in
+        seconds.
+      demand: For start: resources that the attempt may use.
+      job_class: For start: class of the job.
       payload: For start: what to run.
       resume_from: For start: object name of a checkpoint, or ''.
-      save_as: For start: prefix of the names of its output and checkpoints.
-      share: For throttle: share of the processors it may use.
+      save_as: For start: prefix of the object names of its output and
+        checkpoints.
+      share: For throttle: share of the processors that it may use.
     """
 
     action: Action
@@ -86,19 +89,19 @@
 
 @attrs.frozen
 class SyncRequest:
-    """Operations for one worker.
+    """A request to one worker.
 
     Attributes:
-      scope: The slice whose owner is asking.
-      epoch: The owner's epoch.
-      boot: The boot of the worker that the operations are meant for, or ''.
-      commands: What to do, in order.
-      seen: Version of the attempts that the owner has; 0 for none.
-      seen_saves: Number of checkpoints that the owner has heard of.
-      renew_until: Worker's monotonic time up to which every running attempt
-        is renewed, if `seen` is still its version; 0 for none. It has no
-        effect once that time is past.
-      with_usage: Whether measurements are wanted.
+      scope: Name of the slice whose owner sends the request.
+      epoch: Epoch of the owner's lease.
+      boot: Boot of the worker that the commands are meant for; '' for any.
+      commands: Commands, in order.
+      seen: Version of the attempts that the owner last received; 0 for none.
+      seen_saves: Value of `SyncAnswer.saves` that the owner last received.
+      renew_until: Worker's monotonic time in seconds until which the leases of
+        all running attempts are renewed, if `seen` is the current version; 0
+        for no renewal. It has no effect after that time.
+      with_usage: Whether to return measurements.
     """
 
     scope: str
@@ -112,22 +115,22 @@
 
     @property
     def extends_leases(self) -> bool:
-        """Whether the worker may hold a lease longer for this."""
+        """Whether the request may extend a lease on the worker."""
         return bool(self.commands or self.renew_until)
 
 
 @attrs.frozen
 class AttemptReport:
-    """An attempt as the worker sees it.
+    """A worker's report on one attempt.
 
     Attributes:
-      task: The task's id.
-      attempt: The attempt's number.
-      state: How it stands.
-      endpoint: IP number and port that serves requests, or ''.
-      output: Object name of its output, or ''.
-      checkpoint: Object name of its last whole checkpoint, or ''.
-      message: Why it failed.
+      task: Id of the task.
+      attempt: Number of the attempt.
+      state: State of the attempt.
+      endpoint: IP address and port that serve requests, or ''.
+      output: Object name of the output, or ''.
+      checkpoint: Object name of the last complete checkpoint, or ''.
+      message: Why the attempt failed.
     """
 
     task: str
@@ -141,17 +144,18 @@
 
 @attrs.frozen
 class Usage:
-    """What an attempt used, as measured some time ago.
+    """Resource usage of an attempt, measured some time ago.
 
     Attributes:
-      task: The task's id.
-      attempt: The attempt's number.
-      age: Seconds since it was measured.
+      task: Id of the task.
+      attempt: Number of the attempt.
+      age: Seconds since the measurement.
       cores: Processors used.
-      memory_mb: Memory used in MiB.
-      p99_ms: For services: 99th percentile of its answers; 0 if unknown.
-      load: For services: share of its slots in use.
-      progress: For jobs: work done per second, as a share of running alone.
+      memory_mb: Memory used, in MiB.
+      p99_ms: For services: 99th percentile of response times; 0 if unknown.
+      load: For services: share of the slots in use.
+      progress: For jobs: work done per second, as a share of the rate without
+        neighbours.
     """
 
     task: str
@@ -166,20 +170,20 @@
 
 @attrs.frozen
 class SyncAnswer:
-    """A worker's whole state.
+    """Response of a worker, with its complete state.
 
     Attributes:
       boot: Id of this boot of the worker.
-      clock: The worker's monotonic time.
-      capacity: What it has in all.
-      outcomes: One for each command, in order.
-      attempts: Every attempt it holds; none if `version` and `saves` were
-        both seen.
-      usage: Lagging measurements.
-      leaving: Whether it is going away.
-      version: Raised with each change of the attempts but for their
-        checkpoints; above 0.
-      saves: Raised with each checkpoint.
+      clock: Monotonic time of the worker, in seconds.
+      capacity: Total resources of the worker.
+      outcomes: Result of each command, in order.
+      attempts: All attempts on the worker; none if the request had the current
+        `version` and `saves`.
+      usage: Measurements, which lag.
+      leaving: Whether the worker is shutting down.
+      version: Increases with each change of the attempts other than a new
+        checkpoint; above 0.
+      saves: Increases with each new checkpoint.
     """
 
     boot: str
@@ -194,7 +198,7 @@
 
 
 class WorkerError(LentilmountError):
-    """A worker that did not answer; its operations may have taken effect."""
+    """A worker did not respond; its commands may have been carried out."""
 
     kind = ErrorKind.UPSTREAM_FAILED
 
@@ -203,10 +207,15 @@
     """The platform's workers."""
 
     async def sync(self, address: str, request: SyncRequest) -> SyncAnswer:
-        """Sends operations to a worker and reads its state.
+        """Sends commands to a worker and returns its state.
+
+        Args:
+          address: IP address and port of the worker's API.
+          request: The request.
 
         Raises:
-          WorkerError: No answer; the operations may have taken effect.
+          WorkerError: The worker did not respond; the commands may have been
+            carried out.
         """
 
 
@@ -218,13 +227,13 @@
 
     async def sync(self, address: str, request: SyncRequest) -> SyncAnswer:
         """See `SyncClient`."""
-        answer = await self._caller.call(
+        response = await self._caller.call(
             'POST', address + SYNC_PATH, encode(request)
         )
-        if answer.status != 200:
-            raise WorkerError(f'{address}: HTTP status {answer.status}')
+        if response.status != 200:
+            raise WorkerError(f'{address}: HTTP status {response.status}')
         try:
-            return decode(answer.body, SyncAnswer)
+            return decode(response.body, SyncAnswer)
         except LentilmountError as error:
             raise WorkerError(f'{address}: {error.detail}') from error
 
