--- a/lentilmount/coordination/membership.py
+++ b/lentilmount/coordination/membership.py
@@ -174,18 +174,18 @@
                 self._mark_heard(member.name)
 
     def advance(
-        self, beats: Iterable[MemberUpdate], source_zone: str = ''
+        self, updates: Iterable[MemberUpdate], source_zone: str = ''
     ) -> None:
         """Records newer beats of known members; see `observe`."""
-        for beat in beats:
-            known = self._members.get(self._names.get(beat.id, ''))
-            if known is None or beat.beat <= known.beat:
+        for update in updates:
+            known = self._members.get(self._names.get(update.id, ''))
+            if known is None or update.beat <= known.beat:
                 continue
             member = attrs.evolve(
                 known,
-                beat=beat.beat,
-                stopping=beat.stopping,
-                eligible=beat.eligible,
+                beat=update.beat,
+                stopping=update.stopping,
+                eligible=update.eligible,
             )
             self.observe([member], source_zone)
 
@@ -209,8 +209,8 @@
         return known is None or member.age > known
 
     def _check_name_conflict(self, member: Member) -> None:
-        other = member.address != self.local_member.address
-        if other and member.incarnation >= self.local_member.incarnation:
+        is_other = member.address != self.local_member.address
+        if is_other and member.incarnation >= self.local_member.incarnation:
             self.name_conflict = member
 
     def _set(self, member: Member) -> None:
@@ -230,8 +230,8 @@
         self._heard_at[name] = self._monotonic()
         address = self._members[name].address
         for other in self.list_known():
-            taken = other.address == address and other.name != name
-            if taken and not self.is_up(other.name):
+            is_same_address = other.address == address and other.name != name
+            if is_same_address and not self.is_up(other.name):
                 self._remove(other)
 
     def _remove(self, member: Member) -> None:
@@ -255,7 +255,7 @@
     def compensate_pause(self, seconds: float) -> None:
         """Excludes a pause of this process from the times of heartbeats.
 
-        A paused process receives no heartbeats. Otherwise it would consider
+        A paused process receives no heartbeats. Without this it would consider
         all other members down when it resumes.
 
         Args:
@@ -267,8 +267,8 @@
             self._updated_at,
             self._heard_directly_at,
         ):
-            for name, heard in times.items():
-                times[name] = min(now, heard + seconds)
+            for name, at in times.items():
+                times[name] = min(now, at + seconds)
 
     def list_known(self) -> list[Member]:
         """Returns all other members that are not forgotten."""
@@ -278,22 +278,27 @@
         """Returns whether a newer beat of a member arrived recently."""
         if name == self.local_member.name:
             return True
-        heard = self._heard_at.get(name)
-        if heard is None:
+        heard_at = self._heard_at.get(name)
+        if heard_at is None:
             return False
-        near = self._members[name].zone == self.local_member.zone
-        silence = self._timeout * (1.0 if near else REMOTE_ZONE_FACTOR)
-        return self._monotonic() - heard <= silence
+        is_local = self._members[name].zone == self.local_member.zone
+        timeout = self._timeout * (1.0 if is_local else REMOTE_ZONE_FACTOR)
+        return self._monotonic() - heard_at <= timeout
 
     def list_alive(self) -> list[Member]:
         """Returns the other members that are up, including stopping ones."""
         now, zone = self._monotonic(), self.local_member.zone
-        near = now - self._timeout
-        far = now - self._timeout * REMOTE_ZONE_FACTOR
+        local_horizon = now - self._timeout
+        remote_horizon = now - self._timeout * REMOTE_ZONE_FACTOR
         return [
             self._members[name]
-            for name, heard in self._heard_at.items()
-            if heard >= (near if self._members[name].zone == zone else far)
+            for name, heard_at in self._heard_at.items()
+            if heard_at
+            >= (
+                local_horizon
+                if self._members[name].zone == zone
+                else remote_horizon
+            )
         ]
 
     def list_not_heard_directly(self) -> list[Member]:
--- a/lentilmount/coordination/mesh.py
+++ b/lentilmount/coordination/mesh.py
@@ -29,30 +29,37 @@
       membership: Membership as seen by this process.
       links: Number of streams between two zones.
     """
-    me = membership.local_member
+    local_member = membership.local_member
     known = membership.list_known()
-    partners = [member for member in known if member.zone == me.zone]
-    for zone in sorted({m.zone for m in known} - {me.zone}):
+    peers = [member for member in known if member.zone == local_member.zone]
+    for zone in sorted({m.zone for m in known} - {local_member.zone}):
         remote_members = [member for member in known if member.zone == zone]
-        partners += _choose_remote(membership, remote_members, links)
-    return partners
+        peers += _choose_remote(membership, remote_members, links)
+    return peers
 
 
 def _choose_remote(
     membership: Membership, remote_members: Sequence[Member], links: int
 ) -> list[Member]:
-    me = membership.local_member
-    up = [member for member in remote_members if membership.is_up(member.name)]
-    if not up:
+    local_member = membership.local_member
+    remote_up = [
+        member for member in remote_members if membership.is_up(member.name)
+    ]
+    if not remote_up:
         # A zone without any member up may be partitioned; the first of its
         # members that responds forwards the beats of the others.
         return list(remote_members)
-    key = '/'.join(sorted((me.zone, up[0].zone)))
-    here = [m for m in membership.list_known() if m.zone == me.zone]
-    near = [m for m in here if membership.is_up(m.name)]
-    ours, theirs = _rank([me, *near], key), _rank(up, key)
+    key = '/'.join(sorted((local_member.zone, remote_up[0].zone)))
+    local_members = [
+        m for m in membership.list_known() if m.zone == local_member.zone
+    ]
+    local_up = [m for m in local_members if membership.is_up(m.name)]
+    ranked_local, ranked_remote = (
+        _rank([local_member, *local_up], key),
+        _rank(remote_up, key),
+    )
     return [
-        theirs[number % len(theirs)]
-        for number in range(links)
-        if ours[number % len(ours)] is me
+        ranked_remote[index % len(ranked_remote)]
+        for index in range(links)
+        if ranked_local[index % len(ranked_local)] is local_member
     ]
--- a/lentilmount/routing/directory.py
+++ b/lentilmount/routing/directory.py
@@ -67,8 +67,8 @@
         present = {task.id for task in tasks}
         for service in self._upstreams.values():
             for upstream in list(service.values()):
-                gone = upstream.task not in present
-                if upstream.slice_name == slice_name and gone:
+                is_gone = upstream.task not in present
+                if upstream.slice_name == slice_name and is_gone:
                     del service[upstream.task]
         self.version += 1
         for task in tasks:
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -119,8 +119,8 @@
 
 def can_eject_one_more(healths: Sequence[Health]) -> bool:
     """Returns whether one more of these upstreams may be ejected."""
-    out = sum(health.state is State.EJECTED for health in healths)
-    return out + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
+    ejected = sum(health.state is State.EJECTED for health in healths)
+    return ejected + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
         len(healths) > 1
     )
 
--- a/lentilmount/routing/latency.py
+++ b/lentilmount/routing/latency.py
@@ -51,9 +51,9 @@
     def _blend(
         self, band: int, seconds: float, weight: float, now: float
     ) -> None:
-        known = self._means[band]
-        if known:
-            seconds = known + (seconds - known) * weight
+        measured = self._means[band]
+        if measured:
+            seconds = measured + (seconds - measured) * weight
         self._means[band] = seconds
         self._updated_at = now
 
@@ -85,9 +85,9 @@
 
     def _find_nearest(self, band: int) -> float:
         for distance in range(1, BANDS):
-            for near in (band - distance, band + distance):
-                if 0 <= near < BANDS and self._means[near]:
-                    return self._means[near]
+            for neighbour in (band - distance, band + distance):
+                if 0 <= neighbour < BANDS and self._means[neighbour]:
+                    return self._means[neighbour]
         return 0.0
 
     def forget(self) -> None:
--- a/lentilmount/routing/loads.py
+++ b/lentilmount/routing/loads.py
@@ -15,7 +15,7 @@
 """Age after which a report is ignored."""
 
 MAX_COUNT = 255
-_ZONE_MARK = 'zone/'
+_ZONE_PREFIX = 'zone/'
 
 
 @attrs.frozen
@@ -66,9 +66,9 @@
 
     def update(self, reports: Iterable[LoadReport], now: float) -> None:
         """Records the reports of a peer and drops expired ones."""
-        mine = (self._daemon, _ZONE_MARK + self._zone)
+        own_sources = (self._daemon, _ZONE_PREFIX + self._zone)
         for report in reports:
-            if report.source not in mine:
+            if report.source not in own_sources:
                 key = (report.source, report.service)
                 self._reports[key] = (now, report.counts)
         for key, (at, _) in list(self._reports.items()):
@@ -84,7 +84,7 @@
         for (source, name), (at, counts) in self._reports.items():
             if name != service or now - at > STALE_SECONDS:
                 continue
-            if not local_only or not source.startswith(_ZONE_MARK):
+            if not local_only or not source.startswith(_ZONE_PREFIX):
                 total = _add(total, counts)
         return total
 
@@ -99,9 +99,11 @@
           now: Monotonic time in seconds.
         """
         if zone == self._zone:
-            mine = [LoadReport(self._daemon, s, c) for s, c in own.items()]
-            return mine + self._list_zone_reports(now)
-        source = _ZONE_MARK + self._zone
+            own_reports = [
+                LoadReport(self._daemon, s, c) for s, c in own.items()
+            ]
+            return own_reports + self._list_zone_reports(now)
+        source = _ZONE_PREFIX + self._zone
         return [
             LoadReport(
                 source, service, _add(counts, self._sum(service, now, True))
@@ -113,5 +115,5 @@
         return [
             LoadReport(source, service, counts)
             for (source, service), (at, counts) in self._reports.items()
-            if source.startswith(_ZONE_MARK) and now - at <= STALE_SECONDS
+            if source.startswith(_ZONE_PREFIX) and now - at <= STALE_SECONDS
         ]
--- a/lentilmount/routing/pool.py
+++ b/lentilmount/routing/pool.py
@@ -188,10 +188,10 @@
         return None
 
     def release(
-        self, target: Target, reply: Reply, began: float, now: float
+        self, target: Target, reply: Reply, started_at: float, now: float
     ) -> None:
         """Records the result of a request and assigns the next one."""
-        seconds = now - began
+        seconds = now - started_at
         if reply.result is Result.ANSWERED:
             target.observe(seconds, now)
             self.response_times.add(seconds)
@@ -217,10 +217,10 @@
             return reply.status in FAILED_STATUSES
         # A timeout shorter than usual response times says nothing about the
         # upstream's health.
-        hurried = (
+        is_short_timeout = (
             reply.is_timeout and seconds < self.response_times.high_quantile
         )
-        return not reply.is_busy and not hurried
+        return not reply.is_busy and not is_short_timeout
 
     def assign_waiting(self, now: float) -> None:
         """Assigns free upstreams to waiting requests."""
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -146,16 +146,20 @@
         rate = self._configuration.get_team(team).requests_per_second
         if rate:
             self._teams.admit(team, rate, self._count_daemons(), now)
-        longest = spec.deadline_ms / 1000
-        deadline = now + min(timeout or longest, longest)
+        max_seconds = spec.deadline_ms / 1000
+        deadline = now + min(timeout or max_seconds, max_seconds)
         self.pending += 1
         try:
             pool = self.pools.get(call.service, spec)
-            return await self._answer(pool, _Progress(call, deadline))
+            return await self._send_until_answered(
+                pool, _Progress(call, deadline)
+            )
         finally:
             self.pending -= 1
 
-    async def _answer(self, pool: Pool, progress: _Progress) -> Reply:
+    async def _send_until_answered(
+        self, pool: Pool, progress: _Progress
+    ) -> Reply:
         weights = self._configuration.get_weights()
         pool.retries.earn(weights.retry_share)
         pool.hedges.earn(weights.hedge_share)
@@ -230,11 +234,13 @@
         if done:
             return first.result()
         target.latency.observe(target.get_load(), delay, self._monotonic())
-        other = self._acquire_hedge(pool, progress)
-        if other is None:
+        hedge_target = self._acquire_hedge(pool, progress)
+        if hedge_target is None:
             return await first
-        second = asyncio.create_task(self._send_copy(pool, other, progress))
-        return await _get_first_answer(first, second)
+        second = asyncio.create_task(
+            self._send_copy(pool, hedge_target, progress)
+        )
+        return await _get_first_response(first, second)
 
     def _acquire_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
         remaining = progress.deadline - self._monotonic()
@@ -247,19 +253,19 @@
         # requests that wait for one.
         if pool.waiting or pool.hedges.balance < 1.0:
             return None
-        other = pool.acquire(progress.tried, self._monotonic())
-        if other is not None:
+        hedge_target = pool.acquire(progress.tried, self._monotonic())
+        if hedge_target is not None:
             pool.hedges.spend()
-            self._record(EventKind.HEDGE, other, progress.call, 'slow')
-        return other
+            self._record(EventKind.HEDGE, hedge_target, progress.call, 'slow')
+        return hedge_target
 
     async def _send_copy(
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
         upstream = target.upstream
         progress.tried.add(upstream.task)
-        began = self._monotonic()
-        remaining = max(MIN_TIMEOUT_SECONDS, progress.deadline - began)
+        started_at = self._monotonic()
+        remaining = max(MIN_TIMEOUT_SECONDS, progress.deadline - started_at)
         self._copies_in_flight += 1
         reply = await self._forwarder.send(
             upstream.address, progress.call, remaining, pool.max_connections
@@ -273,16 +279,16 @@
             )
         # Waiting requests must not be assigned an upstream that has left.
         self.pools.refresh()
-        pool.release(target, reply, began, self._monotonic())
+        pool.release(target, reply, started_at, self._monotonic())
         return reply
 
     def _make_error(self, progress: _Progress, reply: Reply) -> UpstreamError:
-        late = self._monotonic() >= progress.deadline
-        busy = reply.is_busy and not progress.may_have_run
-        kind = ErrorKind.OVERLOADED if busy else ErrorKind.UPSTREAM_FAILED
+        is_late = self._monotonic() >= progress.deadline
+        is_busy = reply.is_busy and not progress.may_have_run
+        kind = ErrorKind.OVERLOADED if is_busy else ErrorKind.UPSTREAM_FAILED
         return UpstreamError(
             f'{progress.call.service}: {reply.error}',
-            kind=ErrorKind.DEADLINE if late else kind,
+            kind=ErrorKind.DEADLINE if is_late else kind,
             ran=Ran.UNKNOWN if progress.may_have_run else Ran.NO,
             retry_after=RETRY_AFTER_SECONDS,
         )
@@ -302,7 +308,7 @@
         )
 
 
-async def _get_first_answer(
+async def _get_first_response(
     first: asyncio.Task[Reply], second: asyncio.Task[Reply]
 ) -> Reply:
     """Returns the first complete response, or the last failure.
--- a/lentilmount/routing/target.py
+++ b/lentilmount/routing/target.py
@@ -74,8 +74,10 @@
         """
         if self.health.state is State.RETURNING:
             return min(1, self.max_connections)
-        room = max(self.fair_share, self.slots - round(self.other_in_flight))
-        return min(self.max_connections, int(self.limit.value), room)
+        available = max(
+            self.fair_share, self.slots - round(self.other_in_flight)
+        )
+        return min(self.max_connections, int(self.limit.value), available)
 
     def is_open(self) -> bool:
         """Returns whether one more request may be sent."""
--- a/lentilmount/routing/teams.py
+++ b/lentilmount/routing/teams.py
@@ -32,8 +32,8 @@
         Returns:
           0 if a token was taken, else the seconds until one is available.
         """
-        most = max(1.0, rate * BURST_SECONDS)
-        self.tokens = min(most, self.tokens + (now - self.updated_at) * rate)
+        burst = max(1.0, rate * BURST_SECONDS)
+        self.tokens = min(burst, self.tokens + (now - self.updated_at) * rate)
         self.updated_at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
--- a/lentilmount/upstream/table.py
+++ b/lentilmount/upstream/table.py
@@ -91,12 +91,12 @@
                 {'Get': {'TableName': TABLE_NAME, 'Key': make_key(key)}}
                 for key in keys[start : start + READ_LIMIT]
             ]
-            answer = await self._call(
+            response = await self._call(
                 'TransactGetItems', {'TransactItems': items}
             )
-            for response in answer['Responses']:
-                if 'Item' in response:
-                    row = parse_item(response['Item'])
+            for entry in response['Responses']:
+                if 'Item' in entry:
+                    row = parse_item(entry['Item'])
                     found[row.key] = row
         return found
 
