--- a/tests/routing_fixtures.py
+++ b/tests/routing_fixtures.py
@@ -1,4 +1,4 @@
-"""A router with raw or scripted upstreams, for tests of the entry path."""
+"""A router with raw or scripted upstreams, for tests of routing."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     boot: str = 'boot-1',
     phase: Phase = Phase.RUNNING,
 ) -> Task:
-    """Builds a replica's row."""
+    """Returns the task of a replica."""
     return Task(
         f'Service/{SERVICE}/{index}',
         Demand(1.0, 1),
@@ -54,7 +54,7 @@
 def make_resource(
     kind: Kind, name: str, spec: Spec, team: str = ''
 ) -> Resource:
-    """Builds a resource."""
+    """Returns a resource."""
     return Resource(kind, Metadata(name, team), spec)
 
 
@@ -64,7 +64,7 @@
     team: TeamSpec | None = None,
     more: Sequence[Resource] = (),
 ) -> Configuration:
-    """Builds a configuration with one service."""
+    """Returns a configuration with one service."""
     configuration = Configuration()
     configuration.load(
         1,
@@ -81,7 +81,7 @@
 
 
 def make_call(number: int, idempotent: bool = True, body: bytes = b'') -> Call:
-    """Builds a call; its body is its id unless given."""
+    """Returns a call; its body is its id unless given."""
     name = f'request-{number}'
     return Call(
         name, SERVICE, 'POST', 'check', (), body or name.encode(), idempotent
@@ -90,12 +90,12 @@
 
 @attrs.define
 class ScriptedForwarder:
-    """Answers as a function of the address and the call says.
+    """A forwarder that returns the replies of a function.
 
     Attributes:
-      answer: Makes the reply.
-      sent: Every address and call, in order.
-      gate: While set, calls wait for it.
+      answer: Returns the reply to a call, given the address and the call.
+      sent: Address and call of each request, in order.
+      gate: If given, calls wait until this event is set.
     """
 
     answer: Callable[[str, Call], Reply]
@@ -120,7 +120,7 @@
     monotonic: Callable[[], float] | None = None,
     daemons: int = 1,
 ) -> tuple[Router, UpstreamDirectory]:
-    """Builds a router over upstreams at some addresses."""
+    """Returns a router and its directory, with upstreams at the addresses."""
     directory = UpstreamDirectory()
     tasks = [make_task(index, a) for index, a in enumerate(addresses)]
     directory.load(f'{ZONE}/0', tasks)
@@ -144,14 +144,14 @@
 
 
 @attrs.define
-class Scene:
-    """Raw upstreams behind a router with the real client.
+class RoutingFixture:
+    """Raw upstreams behind a router with the real HTTP client.
 
     Attributes:
       upstreams: The upstreams.
       router: The router.
-      directory: What it knows of upstreams.
-      forwarder: Its client.
+      directory: Directory of the router.
+      forwarder: HTTP client of the router.
     """
 
     upstreams: list[RawUpstream]
@@ -167,8 +167,8 @@
         configuration: Configuration | None = None,
         entry_hosts: int = 8,
         monotonic: Callable[[], float] | None = None,
-    ) -> Scene:
-        """Starts everything."""
+    ) -> RoutingFixture:
+        """Starts the upstreams and the router."""
         upstreams = await start_raw(count, options)
         forwarder = CurlForwarder()
         router, directory = make_router(
@@ -180,16 +180,16 @@
         )
         return cls(upstreams, router, directory, forwarder)
 
-    async def __aenter__(self) -> Scene:
-        """Returns the scene."""
+    async def __aenter__(self) -> RoutingFixture:
+        """Returns the fixture."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stops everything."""
+        """Stops the client and the upstreams."""
         self.forwarder.close()
         for upstream in self.upstreams:
             upstream.stop()
 
     def count_runs(self, call: Call) -> int:
-        """Returns how often a request truly ran."""
+        """Returns the number of times that upstreams ran a request."""
         return sum(u.served[call.id] for u in self.upstreams)
--- a/tests/test_coordination_library.py
+++ b/tests/test_coordination_library.py
@@ -1,4 +1,4 @@
-"""The coordination library stands alone, and its example runs."""
+"""Tests that the coordination library is self-contained, and its example."""
 
 import ast
 import asyncio
@@ -25,5 +25,5 @@
     assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    told = asyncio.run(module.main())
-    assert sorted(told) == ['one/1 sent it, epoch 1', 'two/1 found it sent']
+    output = asyncio.run(module.main())
+    assert sorted(output) == ['one/1 sent it, epoch 1', 'two/1 found it sent']
--- a/tests/test_http_calls.py
+++ b/tests/test_http_calls.py
@@ -1,4 +1,4 @@
-"""What a call to a service puts on the link."""
+"""Tests the number of bytes that a call to a worker sends."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from lentilmount.upstream.http import HttpClient
 from tests.helpers import run
 
-LOOK_BYTES = 210
-"""A look's request line, body and the headers that a worker reads."""
+MAX_POLL_BYTES = 210
+"""Size of a poll: request line, body and the headers that a worker reads."""
 
 
-async def _send_look() -> bytes:
-    """Sends a look to a server that notes its bytes."""
-    heard = bytearray()
+async def _send_poll() -> bytes:
+    """Sends a poll to a server that records it; returns its bytes."""
+    received = bytearray()
 
     async def answer(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        heard.extend(await reader.readuntil(b'}'))
+        received.extend(await reader.readuntil(b'}'))
         writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
         writer.close()
 
@@ -40,11 +40,11 @@
     await WorkerClient(caller, 1, 1.0).poll(entry, 33, 482113, 1.5)
     caller.close()
     server.close()
-    return bytes(heard)
+    return bytes(received)
 
 
-def test_a_look_is_little_more_than_its_body() -> None:
-    """A third of what an owner sends was headers that nobody read."""
-    heard = run(_send_look())
-    assert b'X-Expected-Instance: i-40bb3c7090' in heard
-    assert len(heard) <= LOOK_BYTES
+def test_a_poll_is_little_more_than_its_body() -> None:
+    """Unused headers made up a third of the bytes that an owner sent."""
+    received = run(_send_poll())
+    assert b'X-Expected-Instance: i-40bb3c7090' in received
+    assert len(received) <= MAX_POLL_BYTES
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time, and a late one writes nothing."""
+"""Tests that a lease has one holder at a time and a late one cannot write."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 class LossyTable(MemoryTable):
-    """Loses the answers of the next writes, after they took effect."""
+    """Loses the responses of the next writes after applying them."""
 
     lost = 0
     conflicts_lost = False
@@ -45,7 +45,7 @@
     return LeaseKeeper(table, name, 3.0, clock.monotonic)
 
 
-def test_a_lapsed_lease_is_taken_over_with_a_higher_epoch() -> None:
+def test_an_expired_lease_is_taken_over_with_a_higher_epoch() -> None:
     async def check() -> None:
         table, clock = MemoryTable(), ManualClock()
         first = await make_keeper(table, 'one', clock).try_acquire(KEY)
@@ -62,8 +62,8 @@
     run(check())
 
 
-def test_a_paused_holder_writes_nothing_when_it_wakes() -> None:
-    """A holder that wakes after its lease wrote rows of its successor."""
+def test_a_paused_holder_cannot_write_when_it_resumes() -> None:
+    """A holder that resumed after its lease expired overwrote new rows."""
 
     async def check() -> None:
         table, clock = MemoryTable(), ManualClock()
@@ -81,8 +81,8 @@
     run(check())
 
 
-def test_a_lost_answer_is_one_write() -> None:
-    """A renewal whose answer was lost was taken for a lost lease."""
+def test_a_lost_response_leads_to_one_write() -> None:
+    """A renewal whose response was lost was mistaken for a lost lease."""
 
     async def check() -> None:
         table, clock = LossyTable(), ManualClock()
@@ -98,8 +98,8 @@
     run(check())
 
 
-def test_a_renewal_sent_again_counts_from_the_first_time() -> None:
-    """A holder trusted its lease after another had taken it."""
+def test_a_resent_renewal_counts_from_the_first_time() -> None:
+    """A holder trusted its lease after another process had taken it."""
 
     async def check() -> None:
         table, clock = LossyTable(), ManualClock()
@@ -120,8 +120,8 @@
     run(check())
 
 
-def test_a_cancellation_is_not_lost_as_an_event_is_set() -> None:
-    """A task that waits is cancelled in the moment its event is set."""
+def test_a_cancellation_is_not_lost_when_an_event_is_set() -> None:
+    """A waiting task is cancelled at the moment its event is set."""
 
     async def check() -> None:
         event = asyncio.Event()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: old news never wins, and what is dead goes down."""
+"""Tests that outdated updates are ignored and failed members go down."""
 
 import contextlib
 
@@ -19,7 +19,7 @@
 from stand_ins.table import MemoryTable
 from tests.helpers import run
 
-SILENCE = 2.0
+TIMEOUT = 2.0
 NAMES = ('a', 'b', 'c')
 NODES = st.sampled_from(NAMES)
 
@@ -29,11 +29,11 @@
     return Member(name, incarnation=incarnation, **values)  # type: ignore[arg-type]
 
 
-class Machine(RuleBasedStateMachine):
-    """Daemons that tell each other what they know, by a bad network.
+class MembershipMachine(RuleBasedStateMachine):
+    """Daemons that exchange memberships over an unreliable network.
 
-    Messages are late, lost, doubled and out of order; daemons pause, end,
-    and come back under their name with a new incarnation and address.
+    Messages are delayed, lost, duplicated and reordered; daemons pause, stop,
+    and restart under their name with a new incarnation and address.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.incarnation = 0
         self.nodes: dict[str, Membership] = {}
         self.replaced: list[Membership] = []
-        self.bag: list[tuple[str, list[Member]]] = []
+        self.messages: list[tuple[str, list[Member]]] = []
         self.seen: dict[tuple[str, str], tuple[int, int]] = {}
         for name in NAMES:
             self.start(name)
@@ -50,11 +50,11 @@
     def start(self, name: str) -> None:
         self.incarnation += 1
         me = make_member(name, self.incarnation)
-        self.nodes[name] = Membership(me, SILENCE, self.clock.monotonic, 1e9)
+        self.nodes[name] = Membership(me, TIMEOUT, self.clock.monotonic, 1e9)
         for key in [key for key in self.seen if key[0] == name]:
             del self.seen[key]
 
-    def tell(self, name: str) -> list[Member]:
+    def make_message(self, name: str) -> list[Member]:
         node = self.nodes[name]
         up = [m for m in node.list_known() if node.is_up(m.name)]
         return [node.advance_beat(), *up]
@@ -62,20 +62,20 @@
     @rule(name=NODES, other=NODES)
     def send(self, name: str, other: str) -> None:
         if name in self.nodes:
-            self.bag.append((other, self.tell(name)))
+            self.messages.append((other, self.make_message(name)))
 
     @rule(name=NODES, other=NODES)
-    def tell_at_once(self, name: str, other: str) -> None:
+    def send_and_deliver(self, name: str, other: str) -> None:
         if {name, other} <= self.nodes.keys():
-            self.nodes[other].observe(self.tell(name))
+            self.nodes[other].observe(self.make_message(name))
 
     @rule(pick=st.integers(0, 999), again=st.booleans())
     def deliver(self, pick: int, again: bool) -> None:
-        if self.bag:
-            index = pick % len(self.bag)
-            other, members = self.bag[index]
+        if self.messages:
+            index = pick % len(self.messages)
+            other, members = self.messages[index]
             if not again:
-                del self.bag[index]
+                del self.messages[index]
             if other in self.nodes:
                 self.nodes[other].observe(members)
 
@@ -94,7 +94,7 @@
             self.start(name)
 
     @rule(pick=st.integers(0, 99), other=NODES)
-    def wake_replaced(self, pick: int, other: str) -> None:
+    def resume_replaced(self, pick: int, other: str) -> None:
         if self.replaced and other in self.nodes:
             old = self.replaced[pick % len(self.replaced)]
             self.nodes[other].observe([old.advance_beat(), *old.list_known()])
@@ -104,7 +104,7 @@
         self.start(name)
 
     @invariant()
-    def nothing_goes_back(self) -> None:
+    def ages_never_decrease(self) -> None:
         for name, node in self.nodes.items():
             for member in node.list_known():
                 before = self.seen.get((name, member.name), (0, 0))
@@ -115,10 +115,10 @@
         for name in self.nodes:
             for other in self.nodes.values():
                 if other.local_member.name != name:
-                    other.observe(self.tell(name))
+                    other.observe(self.make_message(name))
 
     def teardown(self) -> None:
-        for other, members in self.bag:
+        for other, members in self.messages:
             if other in self.nodes:
                 self.nodes[other].observe(members)
         for _ in range(6):
@@ -134,16 +134,16 @@
                 )
 
 
-TestMembership = Machine.TestCase
+TestMembership = MembershipMachine.TestCase
 TestMembership.settings = settings(
     max_examples=150, stateful_step_count=60, deadline=None, derandomize=True
 )
 
 
-def test_two_that_repeat_a_dead_ones_beat_do_not_keep_it_up() -> None:
+def test_repeated_beats_do_not_keep_a_failed_member_up() -> None:
     clock = ManualClock()
     one, two = (
-        Membership(make_member(n, 1), SILENCE, clock.monotonic) for n in 'ab'
+        Membership(make_member(n, 1), TIMEOUT, clock.monotonic) for n in 'ab'
     )
     one.observe([make_member('dead', 1, beat=7)])
     for _ in range(8):
@@ -156,17 +156,17 @@
 
 def test_a_replacement_at_the_same_address_ends_the_old_name() -> None:
     clock = ManualClock()
-    node = Membership(make_member('a', 1), SILENCE, clock.monotonic)
+    node = Membership(make_member('a', 1), TIMEOUT, clock.monotonic)
     node.observe([make_member('old', 1, address='x:1')])
     clock.advance(3.0)
     node.observe([make_member('new', 2, address='x:1')])
     assert [member.name for member in node.list_known()] == ['new']
 
 
-def test_a_daemon_that_stood_still_does_not_think_itself_alone() -> None:
-    """A daemon that wakes took all others for down, and every slice."""
+def test_a_paused_daemon_does_not_consider_others_down() -> None:
+    """A paused daemon considered all others down and took every slice."""
     clock = ManualClock()
-    node = Membership(make_member('a', 1), SILENCE, clock.monotonic)
+    node = Membership(make_member('a', 1), TIMEOUT, clock.monotonic)
     node.observe([make_member('b', 1)])
     clock.advance(10.0)
     assert not node.is_up('b')
@@ -176,35 +176,35 @@
     assert not node.is_up('b')
 
 
-def test_few_streams_join_zones_and_they_join_all() -> None:
+def test_few_streams_between_zones_connect_all_members() -> None:
     clock = ManualClock()
     members = [
         make_member(f'{zone}{number}', 1, zone=zone)
         for zone in 'pqrstu'
         for number in range(7)
     ]
-    partners: dict[str, set[str]] = {}
+    peers: dict[str, set[str]] = {}
     for me in members:
-        node = Membership(me, SILENCE, clock.monotonic)
+        node = Membership(me, TIMEOUT, clock.monotonic)
         node.observe(members)
-        partners[me.name] = {m.name for m in choose_peers(node, 2)}
-    assert all(n in partners[m] for n in partners for m in partners[n])
-    ends = [len(some) for some in partners.values()]
+        peers[me.name] = {m.name for m in choose_peers(node, 2)}
+    assert all(n in peers[m] for n in peers for m in peers[n])
+    ends = [len(some) for some in peers.values()]
     assert sum(ends) == 42 * 6 + 2 * 2 * 15
     reached, hops = {members[0].name}, 0
     while len(reached) < 42:
-        reached |= {n for m in reached for n in partners[m]}
+        reached |= {n for m in reached for n in peers[m]}
         hops += 1
     assert hops <= 3
 
 
-def test_the_last_started_of_one_name_has_it() -> None:
-    """A paused daemon that wakes served beside its replacement."""
+def test_the_last_started_daemon_keeps_a_shared_name() -> None:
+    """A daemon that resumed after a pause served beside its replacement."""
 
     async def check() -> None:
         table, clock = MemoryTable(), ManualClock()
-        old = Membership(make_member('a', 9), SILENCE, clock.monotonic)
-        new = Membership(make_member('a', 5), SILENCE, clock.monotonic)
+        old = Membership(make_member('a', 9), TIMEOUT, clock.monotonic)
+        new = Membership(make_member('a', 5), TIMEOUT, clock.monotonic)
         first, second = (
             Registry(table, node, 1.0, clock.monotonic) for node in (old, new)
         )
@@ -219,10 +219,10 @@
     run(check())
 
 
-def test_a_late_write_of_its_own_row_is_not_another_daemons() -> None:
+def test_a_late_write_of_its_own_row_is_no_name_conflict() -> None:
     async def check() -> None:
         table, clock = FaultyTable(), ManualClock()
-        node = Membership(make_member('a', 1), SILENCE, clock.monotonic)
+        node = Membership(make_member('a', 1), TIMEOUT, clock.monotonic)
         registry = Registry(table, node, 1.0, clock.monotonic)
         await registry.look()
         table.hold_writes = 4
@@ -243,7 +243,7 @@
         registries = [
             Registry(
                 table,
-                Membership(make_member(n, 1), SILENCE, clock.monotonic),
+                Membership(make_member(n, 1), TIMEOUT, clock.monotonic),
                 1.0,
                 clock.monotonic,
             )
--- a/tests/test_routing_answers.py
+++ b/tests/test_routing_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or none."""
+"""Tests that a caller gets the complete response to its own request or none."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stand_ins.processes import hash_token
 from stand_ins.raw import Act, RawOptions, RawRequest
 from tests.helpers import run
-from tests.routing_fixtures import Scene, make_call
+from tests.routing_fixtures import RoutingFixture, make_call
 
 BROKEN = (
     Act.CUT_BODY,
@@ -29,73 +29,73 @@
 
 @pytest.mark.parametrize('act', BROKEN)
 def test_broken_answer_is_never_passed_on(act: Act) -> None:
-    """The caller sees an error that says "unknown", never a wrong answer."""
+    """The caller gets an error that says "unknown", never a wrong response."""
 
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
-            scene.upstreams[0].choose_act = lambda _: act
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
+            fixture.upstreams[0].choose_act = lambda _: act
             with pytest.raises(UpstreamError) as caught:
-                await scene.router.route(make_call(1), None)
+                await fixture.router.route(make_call(1), None)
             assert caught.value.ran is Ran.UNKNOWN
 
-    run(play())
+    run(check())
 
 
 @pytest.mark.parametrize('act', BROKEN)
 def test_broken_answer_is_retried_elsewhere(act: Act) -> None:
-    """The caller sees its own answer, from the second upstream."""
+    """The caller gets the correct response, from the second upstream."""
 
-    async def play() -> None:
-        async with await Scene.start(2) as scene:
-            scene.upstreams[0].choose_act = lambda _: act
+    async def check() -> None:
+        async with await RoutingFixture.start(2) as fixture:
+            fixture.upstreams[0].choose_act = lambda _: act
             for number in range(4):
                 call = make_call(number)
-                reply = await scene.router.route(call, None)
+                reply = await fixture.router.route(call, None)
                 assert reply.body == b'POST ' + call.body
 
-    run(play())
+    run(check())
 
 
 @pytest.mark.parametrize(
     'act', [Act.ANSWER_TWICE, Act.ANSWER_UNNAMED_TWICE, Act.CLOSE_UNTOLD]
 )
 def test_second_answer_never_reaches_another_caller(act: Act) -> None:
-    """Callers see their own answers although every answer comes twice."""
+    """Callers get their own responses although every response comes twice."""
 
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
-            scene.upstreams[0].choose_act = lambda _: act
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
+            fixture.upstreams[0].choose_act = lambda _: act
             failed = 0
             for number in range(30):
                 call = make_call(number)
-                reply = await scene.forwarder.send(
-                    scene.upstreams[0].address, call, 1.0, 8
+                reply = await fixture.forwarder.send(
+                    fixture.upstreams[0].address, call, 1.0, 8
                 )
                 await asyncio.sleep(0.001)
                 if reply.result is Result.ANSWERED:
                     assert reply.body == b'POST ' + call.body
                 else:
                     failed += 1
-            # After the first wrong name no connection is used again.
+            # After the first wrong request id no connection is reused.
             assert failed <= 1
 
-    run(play())
+    run(check())
 
 
 def test_answers_out_of_order_reach_their_callers() -> None:
-    """Forty callers at once see their own answers, whatever the order."""
+    """Forty concurrent callers get their own responses, in any order."""
 
-    async def play() -> None:
+    async def check() -> None:
         options = RawOptions(mean_ms=5, spread=1.0)
-        async with await Scene.start(2, options) as scene:
+        async with await RoutingFixture.start(2, options) as fixture:
             calls = [make_call(n, idempotent=n % 2 == 0) for n in range(40)]
             replies = await asyncio.gather(
-                *(scene.router.route(call, None) for call in calls)
+                *(fixture.router.route(call, None) for call in calls)
             )
             for call, reply in zip(calls, replies, strict=True):
                 assert reply.body == b'POST ' + call.body
 
-    run(play())
+    run(check())
 
 
 TOKEN = 'token'
@@ -103,7 +103,7 @@
 
 
 def serve(router: Router) -> tuple[HTTPServer, int]:
-    """Serves callers on an ephemeral port."""
+    """Starts a server for callers; returns it and its port."""
     (socket,) = bind_sockets(0, '127.0.0.1')
     server = HTTPServer(make_callers_app(Gate((ACCESS,)), router))
     server.add_socket(socket)
@@ -127,13 +127,13 @@
     return head, await reader.readexactly(int(length.partition(b':')[2]))
 
 
-def test_leaving_caller_disturbs_nobody() -> None:
-    """The next caller on a kept connection sees its own answer."""
+def test_disconnected_caller_does_not_affect_others() -> None:
+    """The next callers on a kept connection get their own responses."""
 
-    async def play() -> None:
+    async def check() -> None:
         options = RawOptions(mean_ms=20)
-        async with await Scene.start(1, options) as scene:
-            server, port = serve(scene.router)
+        async with await RoutingFixture.start(1, options) as fixture:
+            server, port = serve(fixture.router)
             _, writer = await asyncio.open_connection('127.0.0.1', port)
             writer.write(make_request(0))
             await asyncio.sleep(0.005)
@@ -148,20 +148,20 @@
             server.stop()
             await server.close_all_connections()
 
-    run(play())
+    run(check())
 
 
 def test_path_arrives_as_it_was_sent() -> None:
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
             paths: list[str] = []
 
-            def note_path(request: RawRequest) -> Act:
+            def record_path(request: RawRequest) -> Act:
                 paths.append(request.path)
                 return Act.ANSWER
 
-            scene.upstreams[0].choose_act = note_path
-            server, port = serve(scene.router)
+            fixture.upstreams[0].choose_act = record_path
+            server, port = serve(fixture.router)
             reader, writer = await asyncio.open_connection('127.0.0.1', port)
             path = b'a%20b/%2E%2E/../c%3Fd?e=%26&f'
             writer.write(make_request(1).replace(b'check', path))
@@ -171,13 +171,13 @@
             server.stop()
             await server.close_all_connections()
 
-    run(play())
+    run(check())
 
 
 def test_repeated_headers_are_kept() -> None:
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
-            upstream = scene.upstreams[0]
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
+            upstream = fixture.upstreams[0]
 
             def add_cookies(request: RawRequest) -> Act:
                 for connection in upstream.connections:
@@ -188,7 +188,7 @@
                 return Act.IGNORE
 
             upstream.choose_act = add_cookies
-            server, port = serve(scene.router)
+            server, port = serve(fixture.router)
             reader, writer = await asyncio.open_connection('127.0.0.1', port)
             writer.write(make_request(1))
             head, _ = await read_answer(reader)
@@ -197,4 +197,4 @@
             server.stop()
             await server.close_all_connections()
 
-    run(play())
+    run(check())
--- a/tests/test_routing_decision.py
+++ b/tests/test_routing_decision.py
@@ -1,7 +1,7 @@
-"""The routing decision against a naive, plainly right version.
+"""Compares routing decisions with a simple reference model.
 
-The naive one keeps the whole history and works everything out anew from it
-for each decision: who is open, what each costs, which zone is near enough.
+The model keeps the whole history and derives from it for each decision which
+upstreams are open, their expected times and the zones to choose from.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from tests.routing_fixtures import SERVICE, SPEC, make_configuration, make_task
 
 ZONES = ('near', 'near', 'far')
-SEATS = 8
+ENTRY_HOSTS = 8
 SPILL = 0.003
 TYPICAL = 0.1
 DAEMONS = 3
@@ -39,7 +39,7 @@
 
 @attrs.define
 class History:
-    """Everything that happened, in order."""
+    """Reference model: everything that happened, in order."""
 
     now: float = 1000.0
     taken: list[int] = attrs.Factory(list)
@@ -65,15 +65,15 @@
     def is_open(self, index: int) -> bool:
         fair = -(-SPEC.slots // DAEMONS)
         room = max(fair, SPEC.slots - self.count_others(index))
-        most = min(SPEC.connections // SEATS - 1, room)
+        most = min(SPEC.connections // ENTRY_HOSTS - 1, room)
         return index not in self.left and self.count_own(index) < most
 
     def get_cost(self, index: int) -> float:
         load = self.count_own(index) + self.count_others(index) + 1
         expected = TYPICAL * max(1.0, load / SPEC.slots)
-        return max(expected, self.find_silence(index))
+        return max(expected, self.get_stalled_seconds(index))
 
-    def find_silence(self, index: int) -> float:
+    def get_stalled_seconds(self, index: int) -> float:
         own, since = 0, 0.0
         for at, kind, i in self.progress:
             if i == index:
@@ -82,7 +82,7 @@
         return self.now - since if own else 0.0
 
     def list_right(self) -> set[int]:
-        """Returns every choice that is right now."""
+        """Returns all valid choices."""
         opened = [n for n in range(len(ZONES)) if self.is_open(n)]
         near = [n for n in opened if ZONES[n] == 'near']
         far = [n for n in opened if ZONES[n] == 'far']
@@ -96,10 +96,11 @@
         return right
 
     def drop_worst(self, some: list[int]) -> set[int]:
-        """Drops the ones that lose against every other.
+        """Removes upstreams that lose against every other one.
 
-        Of two random ones the clearly cheaper is taken, else the less
-        loaded, so that only a strictly worst one can never be chosen.
+        Of two random upstreams the one with the significantly lower expected
+        time is chosen, else the less loaded one, so only an upstream that is
+        strictly worse than all others can never be chosen.
         """
 
         def beats(one: int, other: int) -> bool:
@@ -127,7 +128,7 @@
     return Pools(
         directory,
         make_configuration(),
-        PoolOptions('entry-0', 'near', SEATS),
+        PoolOptions('entry-0', 'near', ENTRY_HOSTS),
         PowerOfTwo(rng),
         EventLog('entry-0'),
         rng,
--- a/tests/test_routing_leaving.py
+++ b/tests/test_routing_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that leaves gets no new work, whoever says so first."""
+"""Tests that a leaving upstream gets no new requests, whoever reports it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from tests.helpers import run
 from tests.routing_fixtures import (
     ZONE,
-    Scene,
+    RoutingFixture,
     ScriptedForwarder,
     make_call,
     make_configuration,
@@ -45,8 +45,8 @@
 WORKERS = ('w0', 'w1')
 
 
-class Leaving(RuleBasedStateMachine):
-    """Marks against a model: a boot once marked stays so."""
+class LeavingMarksMachine(RuleBasedStateMachine):
+    """Compares marks with a model: a boot that was marked stays marked."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,11 +56,11 @@
         self.listed: set[str] = set()
 
     @rule(worker=st.sampled_from(WORKERS))
-    def boot_anew(self, worker: str) -> None:
+    def reboot(self, worker: str) -> None:
         self.boots[worker] += 1
 
     @rule(worker=st.sampled_from(WORKERS), back=st.integers(0, 2))
-    def hear(self, worker: str, back: int) -> None:
+    def report_leaving(self, worker: str, back: int) -> None:
         boot = max(0, self.boots[worker] - back)
         self.marks.add(LeavingMark(worker, str(boot)))
         self.left.add((worker, boot))
@@ -80,8 +80,8 @@
             assert self.marks.is_leaving(worker, str(boot)) is expected
 
 
-TestLeaving = Leaving.TestCase
-TestLeaving.settings = settings(
+TestLeavingMarks = LeavingMarksMachine.TestCase
+TestLeavingMarks.settings = settings(
     max_examples=40, stateful_step_count=30, derandomize=True, deadline=None
 )
 
@@ -91,7 +91,7 @@
 
 
 async def collect(router: object, count: int = 20) -> set[str]:
-    """Returns the addresses that answer."""
+    """Routes requests; returns the addresses that responded."""
     bodies = set()
     for number in range(count):
         reply = await router.route(make_call(number), None)  # type: ignore[attr-defined]
@@ -107,10 +107,10 @@
 
 
 @pytest.mark.parametrize('source', ['list', 'peer', 'upstream'])
-def test_first_word_is_believed_and_never_taken_back(source: str) -> None:
-    """No request goes to the upstream from the first word on."""
+def test_first_report_of_leaving_is_final(source: str) -> None:
+    """After the first report of leaving an upstream gets no more requests."""
 
-    async def play() -> None:
+    async def check() -> None:
         leaving = source == 'upstream'
         forwarder = ScriptedForwarder(
             lambda address, _: Reply(
@@ -136,7 +136,7 @@
         router.pools.mark_leaving(mark, 'entry-2')
         assert await collect(router) == {'a0', 'a1', 'a2'}
 
-    run(play())
+    run(check())
 
 
 @pytest.mark.parametrize(
@@ -146,8 +146,8 @@
         make_resource(Kind.WORKER, f'{ZONE}-0', WorkerSpec(drain=True)),
     ],
 )
-def test_drained_by_an_operator(drain: Resource) -> None:
-    async def play() -> None:
+def test_drained_upstream_gets_no_requests(drain: Resource) -> None:
+    async def check() -> None:
         router, _ = make_router(
             ['a0', 'a1'],
             ScriptedForwarder(answer),
@@ -155,22 +155,22 @@
         )
         assert await collect(router) == {'a1'}
 
-    run(play())
+    run(check())
 
 
 def test_waiting_requests_do_not_get_a_leaving_upstream() -> None:
-    """Waiting callers are refused at once when the last upstream leaves."""
+    """Waiting requests are refused at once when the last upstream leaves."""
 
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
-            scene.upstreams[0].choose_act = lambda _: Act.IGNORE
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
+            fixture.upstreams[0].choose_act = lambda _: Act.IGNORE
             calls = [
-                asyncio.create_task(scene.router.route(make_call(n), 0.4))
+                asyncio.create_task(fixture.router.route(make_call(n), 0.4))
                 for n in range(12)
             ]
             await asyncio.sleep(0.05)
             mark = LeavingMark(f'{ZONE}-0', 'boot-1')
-            scene.router.pools.mark_leaving(mark, 'entry-1')
+            fixture.router.pools.mark_leaving(mark, 'entry-1')
             done, _ = await asyncio.wait(calls, timeout=0.1)
             assert len(done) == 5
             for task in done:
@@ -179,7 +179,7 @@
                 assert error.kind is ErrorKind.OVERLOADED
             await asyncio.gather(*calls, return_exceptions=True)
 
-    run(play())
+    run(check())
 
 
 def make_settings(
@@ -199,10 +199,10 @@
     )
 
 
-def test_every_daemon_knows_within_seconds() -> None:
-    """Two daemons know within 3 s while the host list is 30 s behind."""
+def test_all_daemons_learn_of_leaving_within_seconds() -> None:
+    """Two daemons mark a worker within 3 s while the host list lags by 30 s."""
 
-    async def play() -> None:
+    async def check() -> None:
         options = PlatformOptions(
             (ZoneOptions(ZONE, 2, 8, Room(8.0, 1024)),), host_lag=30.0
         )
@@ -223,11 +223,11 @@
                 while not all(m.list_marks() for m in marks):
                     await asyncio.sleep(0.02)
 
-    run(play())
+    run(check())
 
 
 async def wait_until_owned(*daemons: Daemon) -> None:
-    """Waits until some daemon is linked to both workers."""
+    """Waits until some daemon has sessions with both workers."""
     async with asyncio.timeout(10.0):
         while not any(
             len(owner.sessions) == 2
@@ -238,10 +238,10 @@
             await asyncio.sleep(0.02)
 
 
-def test_phase_and_attempt_decide() -> None:
-    """An older attempt's news does not bring its address back."""
+def test_newest_attempt_and_phase_decide() -> None:
+    """An update of an older attempt does not restore its address."""
 
-    async def play() -> None:
+    async def check() -> None:
         router, directory = make_router(['a0', 'a1'], ScriptedForwarder(answer))
         slice_name = f'{ZONE}/0'
         directory.update(slice_name, make_task(0, 'b0', attempt=2))
@@ -253,4 +253,4 @@
         directory.load(f'{ZONE}/1', [])
         assert await collect(router) == {'a1'}
 
-    run(play())
+    run(check())
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -1,4 +1,4 @@
-"""Queue, limits, budgets, hedges and ejection, each by itself."""
+"""Tests of the queue, limits, budgets, hedges and ejection of routing."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
     return pool
 
 
-class Slots(RuleBasedStateMachine):
-    """Takes and returns against a count; no share is ever passed."""
+class SlotsMachine(RuleBasedStateMachine):
+    """Acquires and releases upstreams; checks counts and connection limits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -100,7 +100,7 @@
         self.now += seconds
 
     @rule(others=st.lists(st.integers(0, 12), min_size=4, max_size=4))
-    def hear_of_others(self, others: list[int]) -> None:
+    def update_others(self, others: list[int]) -> None:
         for target, load in zip(
             self.pool.targets.values(), others, strict=True
         ):
@@ -117,8 +117,8 @@
         assert ejected <= max(1, 4 * MAX_EJECTED_SHARE)
 
 
-class Loads(RuleBasedStateMachine):
-    """Daemons of two zones know all loads after two rounds of heartbeats."""
+class LoadReportsMachine(RuleBasedStateMachine):
+    """Daemons of two zones have all loads after two rounds of heartbeats."""
 
     NAMES = ('a0', 'a1', 'b0', 'b1')
     LINKS = (('a0', 'a1'), ('b0', 'b1'), ('a0', 'b0'), ('a1', 'b0'))
@@ -126,7 +126,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        self.books = {name: PeerLoads(name, name[0]) for name in self.NAMES}
+        self.peer_loads = {
+            name: PeerLoads(name, name[0]) for name in self.NAMES
+        }
         self.own = dict.fromkeys(self.NAMES, b'')
 
     @rule(
@@ -142,10 +144,12 @@
         for link in [*links, *links]:
             for one, other in (link, link[::-1]):
                 own = {'desk/quota': self.own[one]}
-                told = self.books[one].list_reports_for(other[0], own, self.now)
-                self.books[other].update(told, self.now)
-        for name, book in self.books.items():
-            known = book.sum_others('desk/quota', self.now)
+                reports = self.peer_loads[one].list_reports_for(
+                    other[0], own, self.now
+                )
+                self.peer_loads[other].update(reports, self.now)
+        for name, loads in self.peer_loads.items():
+            known = loads.sum_others('desk/quota', self.now)
             others = [self.own[o] for o in self.NAMES if o != name]
             longest = max(map(len, others))
             padded = [o.ljust(longest, b'\0') for o in others]
@@ -153,14 +157,14 @@
             assert known.rstrip(b'\0') == total.rstrip(b'\0')
 
     @rule()
-    def fall_silent(self) -> None:
+    def let_reports_expire(self) -> None:
         self.now += 3.0
-        for book in self.books.values():
-            assert not book.sum_others('desk/quota', self.now)
+        for loads in self.peer_loads.values():
+            assert not loads.sum_others('desk/quota', self.now)
 
 
-class Budgets(RuleBasedStateMachine):
-    """Extra copies stay a share of the requests, whatever the order."""
+class BudgetMachine(RuleBasedStateMachine):
+    """Extra copies stay within their share of requests, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -183,18 +187,18 @@
         assert self.copies <= INITIAL_BALANCE + 0.1 * self.requests + 1e-6
 
 
-TestSlots = Slots.TestCase
+TestSlots = SlotsMachine.TestCase
 TestSlots.settings = QUICK
-TestLoads = Loads.TestCase
+TestLoads = LoadReportsMachine.TestCase
 TestLoads.settings = QUICK
-TestBudgets = Budgets.TestCase
+TestBudgets = BudgetMachine.TestCase
 TestBudgets.settings = QUICK
 
 
 def test_full_queue_refuses_at_once() -> None:
-    """A caller that would wait past its patience is refused at once."""
+    """A request that would exceed the maximum wait is refused at once."""
 
-    async def play() -> None:
+    async def check() -> None:
         clock = ManualClock()
         forwarder = ScriptedForwarder(lambda *_: DONE, gate=asyncio.Event())
         router, _ = make_router(
@@ -217,8 +221,8 @@
         await asyncio.sleep(0)
         refused = [task for task in calls if task.done()]
         waiting = 40 - len(refused) - sum(router.in_flight.values())
-        # Seven requests at each of two upstreams end 14 requests a second, so
-        # that half a second's patience is worth 7 places.
+        # Two upstreams with seven requests each end 14 requests per second,
+        # so a maximum wait of half a second allows 7 waiting requests.
         assert waiting == 7
         for task in refused:
             error = task.exception()
@@ -231,11 +235,11 @@
         assert len(forwarder.sent) == 14 + 40 - len(refused)
         assert router.pending == 0
 
-    run(play())
+    run(check())
 
 
-def test_queue_is_in_order_and_skips_callers_that_left() -> None:
-    async def play() -> None:
+def test_queue_is_in_order_and_skips_disconnected_callers() -> None:
+    async def check() -> None:
         gone: set[str] = set()
         forwarder = ScriptedForwarder(lambda *_: DONE, gate=asyncio.Event())
         router, _ = make_router(['a0'], forwarder)
@@ -255,11 +259,11 @@
         numbers = [int(call.id.partition('-')[2]) for _, call in forwarder.sent]
         assert numbers == [0, 1, 2, 3, 4, 5, 6, 7, 8, 10, 11]
 
-    run(play())
+    run(check())
 
 
-def test_team_over_its_limit_leaves_others_alone() -> None:
-    async def play() -> None:
+def test_team_over_its_limit_is_refused() -> None:
+    async def check() -> None:
         clock = ManualClock()
         configuration = make_configuration(
             team=TeamSpec(requests_per_second=20.0)
@@ -287,11 +291,11 @@
         clock.advance(0.5)
         assert await count_answers(50) == 5
 
-    run(play())
+    run(check())
 
 
 def test_retries_stop_when_the_budget_is_spent() -> None:
-    async def play() -> None:
+    async def check() -> None:
         weights = ConfigurationSpec(retry_share=0.1)
         forwarder = ScriptedForwarder(lambda *_: FAILED)
         router, _ = make_router(
@@ -304,11 +308,11 @@
                 await router.route(make_call(number), None)
         assert len(forwarder.sent) <= 100 + INITIAL_BALANCE + 10
 
-    run(play())
+    run(check())
 
 
 def test_limit_falls_with_a_queue_and_follows_drift() -> None:
-    """A queue lowers the limit; service times that stay longer do not."""
+    """Queueing lowers the limit; a lasting change of service time does not."""
     limit = AdaptiveLimit(8.0)
     now = 0.0
     for _ in range(100):
@@ -325,7 +329,7 @@
     assert limit.value == 8.0
 
 
-def test_limit_falls_when_the_upstream_says_busy() -> None:
+def test_limit_falls_when_the_upstream_refuses() -> None:
     limit = AdaptiveLimit(8.0)
     for _ in range(10):
         limit.reduce_after_rejection()
@@ -333,7 +337,7 @@
 
 
 def test_slow_upstream_is_ejected_and_returns_slowly() -> None:
-    """Ejected at three times the median, then one request at a time."""
+    """A slow upstream is ejected, then gets one request at a time."""
     pool = make_pool(10)
     now = 1000.0
     for target in pool.targets.values():
@@ -372,8 +376,8 @@
     assert lengths[0] < 3.0 and 48.0 <= lengths[-1] <= 72.0
 
 
-def test_lagging_report_steers_before_the_tail_shows() -> None:
-    """A reported slowness at high load counts only at high load."""
+def test_lagging_report_affects_only_its_load_band() -> None:
+    """A high p99 reported at high load affects only estimates at high load."""
     model = LatencyModel()
     model.observe(0.1, 0.1, 10.0)
     model.observe_report(0.9, 1.8, 2.0, 10.0)
@@ -383,9 +387,9 @@
 
 
 def test_hedge_answers_when_the_first_upstream_is_silent() -> None:
-    """A silent upstream kept the caller waiting until the deadline."""
+    """A stalled upstream kept the caller waiting until the deadline."""
 
-    async def play() -> None:
+    async def check() -> None:
         hang = asyncio.Event()
 
         class Hanging(ScriptedForwarder):
@@ -410,4 +414,4 @@
         await asyncio.sleep(0.01)
         assert not router.in_flight
 
-    run(play())
+    run(check())
--- a/tests/test_routing_gone.py
+++ b/tests/test_routing_misdirected.py
@@ -1,4 +1,4 @@
-"""Upstreams whose task ended while nobody could tell."""
+"""Tests of upstreams whose task ended while the directory still lists them."""
 
 from lentilmount.clock import ManualClock
 from lentilmount.resources import ConfigurationSpec
@@ -12,17 +12,17 @@
 )
 
 DONE = Reply(Result.ANSWERED, 200)
-GONE = Reply(Result.NOT_RUN, error='not here', is_misdirected=True)
+MISDIRECTED = Reply(Result.NOT_RUN, error='not here', is_misdirected=True)
 ADDRESSES = [f'a{number}' for number in range(8)]
-ENDED = frozenset(ADDRESSES[:5])
+ENDED_ADDRESSES = frozenset(ADDRESSES[:5])
 
 
-def test_callers_do_not_meet_upstreams_that_are_gone() -> None:
-    """Callers were sent to tasks that had lapsed and refused them at once."""
+def test_callers_are_not_routed_to_ended_tasks() -> None:
+    """Callers were routed repeatedly to ended tasks, which refused at once."""
 
-    async def play() -> None:
+    async def check() -> None:
         def answer(address: str, _: Call) -> Reply:
-            return GONE if address in ENDED else DONE
+            return MISDIRECTED if address in ENDED_ADDRESSES else DONE
 
         forwarder = ScriptedForwarder(answer)
         clock = ManualClock()
@@ -35,7 +35,7 @@
         for number in range(100):
             reply = await router.route(make_call(number, False), None)
             assert reply is DONE
-        met = [a for a, _ in forwarder.sent if a in ENDED]
-        assert sorted(met) == sorted(ENDED)
+        reached = [a for a, _ in forwarder.sent if a in ENDED_ADDRESSES]
+        assert sorted(reached) == sorted(ENDED_ADDRESSES)
 
-    run(play())
+    run(check())
--- a/tests/test_routing_ran.py
+++ b/tests/test_routing_run_state.py
@@ -1,4 +1,4 @@
-"""What is said of a failed request, held against what truly ran."""
+"""Compares the reported run state of failed requests with actual runs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.routing_fixtures import (
     SERVICE,
     SPEC,
-    Scene,
+    RoutingFixture,
     make_call,
     make_configuration,
 )
@@ -34,10 +34,12 @@
 )
 
 
-async def try_route(scene: Scene, call: Call, timeout: float) -> Ran | None:
-    """Routes a call; returns what a failure said, None for an answer."""
+async def try_route(
+    fixture: RoutingFixture, call: Call, timeout: float
+) -> Ran | None:
+    """Routes a call; returns the run state if it failed, else None."""
     try:
-        await scene.router.route(call, timeout)
+        await fixture.router.route(call, timeout)
     except UpstreamError as error:
         return error.ran
     return None
@@ -45,55 +47,55 @@
 
 @pytest.mark.parametrize('idempotent', [True, False])
 @pytest.mark.parametrize('act', FAILURES)
-def test_not_run_is_only_said_when_true(act: Act, idempotent: bool) -> None:
-    """The caller sees "not run" only if no upstream counted the request."""
+def test_not_run_is_reported_only_when_true(act: Act, idempotent: bool) -> None:
+    """The caller gets "not run" only if no upstream ran the request."""
 
-    async def play() -> None:
-        async with await Scene.start(3) as scene:
-            for upstream in scene.upstreams[:2]:
+    async def check() -> None:
+        async with await RoutingFixture.start(3) as fixture:
+            for upstream in fixture.upstreams[:2]:
                 upstream.choose_act = lambda _: act
             calls = [make_call(n, idempotent) for n in range(12)]
-            said = await asyncio.gather(
-                *(try_route(scene, call, 0.2) for call in calls)
+            reported = await asyncio.gather(
+                *(try_route(fixture, call, 0.2) for call in calls)
             )
-            for call, ran in zip(calls, said, strict=True):
-                runs = scene.count_runs(call)
+            for call, ran in zip(calls, reported, strict=True):
+                runs = fixture.count_runs(call)
                 assert ran is not Ran.NO or runs == 0
                 assert idempotent or runs <= 1
                 if ran is None:
                     assert runs >= 1
 
-    run(play())
+    run(check())
 
 
 def test_refused_connections_are_not_run() -> None:
-    async def play() -> None:
-        async with await Scene.start(2) as scene:
-            for upstream in scene.upstreams:
+    async def check() -> None:
+        async with await RoutingFixture.start(2) as fixture:
+            for upstream in fixture.upstreams:
                 upstream.stop()
             with pytest.raises(UpstreamError) as caught:
-                await scene.router.route(make_call(1, False), None)
+                await fixture.router.route(make_call(1, False), None)
             assert caught.value.ran is Ran.NO
 
-    run(play())
+    run(check())
 
 
-def test_refusing_upstreams_are_told_as_overload() -> None:
-    async def play() -> None:
-        async with await Scene.start(2) as scene:
-            for upstream in scene.upstreams:
+def test_refusing_upstreams_are_reported_as_overload() -> None:
+    async def check() -> None:
+        async with await RoutingFixture.start(2) as fixture:
+            for upstream in fixture.upstreams:
                 upstream.choose_act = lambda _: Act.REFUSE
             with pytest.raises(UpstreamError) as caught:
-                await scene.router.route(make_call(1, False), None)
+                await fixture.router.route(make_call(1, False), None)
             assert caught.value.kind is ErrorKind.OVERLOADED
             assert caught.value.ran is Ran.NO
             assert caught.value.retry_after
 
-    run(play())
+    run(check())
 
 
 def die_after_first(upstream: RawUpstream) -> None:
-    """Answers one request, then runs the next on its connection and dies."""
+    """Makes an upstream answer one request, run the next and reset."""
     answered: list[str] = []
 
     def choose(request: RawRequest) -> Act:
@@ -103,10 +105,10 @@
     upstream.choose_act = choose
 
 
-async def post_plainly(
+async def post_with_plain_client(
     client: CurlAsyncHTTPClient, address: str, call: Call
 ) -> None:
-    """Posts as a program would that knows nothing of this matter."""
+    """Sends a POST with an unmodified client."""
     with contextlib.suppress(CurlError):
         await client.fetch(
             f'http://{address}/check',
@@ -117,34 +119,34 @@
 
 
 @pytest.mark.parametrize('ours', [False, True])
-def test_library_sends_again_on_a_dead_connection(ours: bool) -> None:
-    """A plain client runs a POST twice; ours runs it once."""
+def test_libcurl_resends_on_a_closed_connection(with_forwarder: bool) -> None:
+    """A plain client runs a POST twice; the forwarder runs it once."""
 
-    async def play() -> int:
-        async with await Scene.start(1) as scene:
-            upstream = scene.upstreams[0]
+    async def check() -> int:
+        async with await RoutingFixture.start(1) as fixture:
+            upstream = fixture.upstreams[0]
             die_after_first(upstream)
             client = CurlAsyncHTTPClient(force_instance=True)
             for number in (1, 2):
                 call = make_call(number, idempotent=False)
-                if ours:
-                    await scene.forwarder.send(upstream.address, call, 1.0, 8)
+                if with_forwarder:
+                    await fixture.forwarder.send(upstream.address, call, 1.0, 8)
                 else:
-                    await post_plainly(client, upstream.address, call)
+                    await post_with_plain_client(client, upstream.address, call)
             client.close()
             return upstream.served['request-2']
 
-    assert run(play()) == (1 if ours else 2)
+    assert run(check()) == (1 if with_forwarder else 2)
 
 
-def test_refusal_after_a_library_retry_is_unknown() -> None:
-    """The caller sees "unknown" although the last error is "refused"."""
+def test_refusal_after_a_libcurl_retry_is_unknown() -> None:
+    """The caller gets "unknown" although the last error is "refused"."""
 
-    async def play() -> None:
-        async with await Scene.start(1) as scene:
-            upstream = scene.upstreams[0]
+    async def check() -> None:
+        async with await RoutingFixture.start(1) as fixture:
+            upstream = fixture.upstreams[0]
             first = make_call(1)
-            await scene.forwarder.send(upstream.address, first, 1.0, 8)
+            await fixture.forwarder.send(upstream.address, first, 1.0, 8)
 
             def stop(request: RawRequest) -> Act:
                 upstream.served[request.id] += 1
@@ -153,12 +155,12 @@
 
             upstream.choose_act = stop
             call = make_call(2)
-            reply = await scene.forwarder.send(upstream.address, call, 1.0, 8)
+            reply = await fixture.forwarder.send(upstream.address, call, 1.0, 8)
             assert upstream.served[call.id] == 1
             assert upstream.accepted == 1
             assert reply.result is Result.UNKNOWN
 
-    run(play())
+    run(check())
 
 
 def make_first_copies_slow(upstreams: list[RawUpstream]) -> None:
@@ -180,43 +182,43 @@
 def test_hedge_is_only_for_idempotent_requests() -> None:
     """A slow non-idempotent request runs once; an idempotent one twice."""
 
-    async def play() -> None:
+    async def check() -> None:
         weights = ConfigurationSpec(hedge_share=1.0)
         configuration = make_configuration(weights=weights)
         options = RawOptions(mean_ms=2)
-        async with await Scene.start(
+        async with await RoutingFixture.start(
             2,
             options,
             configuration,
             entry_hosts=1,
             monotonic=ManualClock().monotonic,
-        ) as scene:
-            times = scene.router.pools.get(SERVICE, SPEC).response_times
+        ) as fixture:
+            times = fixture.router.pools.get(SERVICE, SPEC).response_times
             for _ in range(MIN_SAMPLES + SORT_INTERVAL):
                 times.add(0.005)
             assert times.high_quantile == 0.005
-            make_first_copies_slow(scene.upstreams)
+            make_first_copies_slow(fixture.upstreams)
             for first in (200, 202):
                 calls = [
                     make_call(number, number < 204)
                     for number in (first, first + 1, first + 4, first + 5)
                 ]
-                said = await asyncio.gather(
-                    *(try_route(scene, call, 5.0) for call in calls)
+                reported = await asyncio.gather(
+                    *(try_route(fixture, call, 5.0) for call in calls)
                 )
-                assert said == [None] * len(calls)
-                runs = [scene.count_runs(call) for call in calls]
+                assert reported == [None] * len(calls)
+                runs = [fixture.count_runs(call) for call in calls]
                 assert runs == [2, 2, 1, 1]
 
-    run(play())
+    run(check())
 
 
 def test_path_that_cannot_be_sent_is_not_run() -> None:
-    async def play() -> None:
+    async def check() -> None:
         forwarder = CurlForwarder()
         call = Call('r', 'desk/quota', 'GET', 'caf\u00e9')
         reply = await forwarder.send(f'{LOOPBACK}:1', call, 1.0, 8)
         assert reply.result is Result.NOT_RUN
         forwarder.close()
 
-    run(play())
+    run(check())
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off go on serving, and heal without a burst."""
+"""Tests that partitioned zones keep serving and recover without a burst."""
 
 from __future__ import annotations
 
@@ -34,31 +34,31 @@
 
 
 class Node:
-    """A daemon in this process, reached and reaching by relays.
+    """A daemon in this process whose connections go through relays.
 
     Attributes:
       daemon: The daemon.
-      inward: Passes what peers send to it, and its answers.
-      table: Passes what it sends to the table.
+      inbound: Relay of connections from peers to the daemon.
+      table: Relay of connections from the daemon to the table service.
     """
 
     def __init__(self) -> None:
-        self.inward = Relay()
+        self.inbound = Relay()
         self.table = Relay()
 
     async def start(
         self, stack: contextlib.AsyncExitStack, settings: Settings
     ) -> None:
         self.table.target = settings.platform.table.removeprefix('http://')
-        for relay in (self.inward, self.table):
+        for relay in (self.inbound, self.table):
             await stack.enter_async_context(relay)
         table = f'http://{self.table.address}'
         platform = attrs.evolve(settings.platform, table=table)
         self.daemon = Daemon(attrs.evolve(settings, platform=platform))
         await stack.enter_async_context(self.daemon)
-        self.inward.target = self.daemon.addresses['peers']
+        self.inbound.target = self.daemon.addresses['peers']
         self.daemon.membership.local_member = attrs.evolve(
-            self.daemon.membership.local_member, address=self.inward.address
+            self.daemon.membership.local_member, address=self.inbound.address
         )
 
     async def call(self) -> int:
@@ -84,15 +84,15 @@
         return self.daemon.configuration.revision
 
 
-class Scene:
-    """A platform of two zones and daemons in this process."""
+class ZoneFixture:
+    """A platform of two zones, with daemons in this process."""
 
     def __init__(self, workers: int = 2):
         zones = make_zones(ZONES, workers, 8, Room(32.0, 4096, 0))
         self.platform = Platform(PlatformOptions(zones))
         self.stack = contextlib.AsyncExitStack()
 
-    async def __aenter__(self) -> Scene:
+    async def __aenter__(self) -> ZoneFixture:
         await self.stack.enter_async_context(self.platform)
         return self
 
@@ -139,16 +139,16 @@
             await asyncio.sleep(0.02)
 
 
-def test_a_zone_that_is_cut_off_serves_and_heals() -> None:
-    """A zone without the table refused its callers."""
+def test_a_partitioned_zone_serves_and_recovers() -> None:
+    """A zone that could not reach the table service refused its callers."""
 
     async def check() -> None:
-        async with Scene() as scene:
-            one, two = [await scene.start(f'e-{z}', z) for z in ZONES]
+        async with ZoneFixture() as fixture:
+            one, two = [await fixture.start(f'e-{z}', z) for z in ZONES]
             await wait_until(lambda: one.up == two.up == {'e-a', 'e-b'})
-            await scene.serve(one)
+            await fixture.serve(one)
             await wait_until(lambda: len(two.daemon.directory.list_all()) == 2)
-            relays = (one.inward, two.inward, two.table)
+            relays = (one.inbound, two.inbound, two.table)
             for relay in relays:
                 relay.set(Flow.DROP)
             await wait_until(lambda: one.up == {'e-a'} and two.up == {'e-b'})
@@ -156,27 +156,27 @@
             assert [await two.call() for _ in range(20)] == [200] * 20
             assert two.daemon.find_fault() == ''
             assert two.revision == 1
-            before = scene.platform.table.reads
+            before = fixture.platform.table.reads
             for relay in relays:
                 relay.set(Flow.PASS)
             await wait_until(lambda: two.revision == one.revision == 2)
             await wait_until(lambda: one.up == two.up == {'e-a', 'e-b'})
-            assert scene.platform.table.reads - before < 400
+            assert fixture.platform.table.reads - before < 400
 
     run(check())
 
 
-def test_a_daemon_that_starts_in_a_cut_zone_learns_from_peers() -> None:
-    """A daemon that starts in a cut zone served nobody."""
+def test_a_daemon_that_starts_in_a_partitioned_zone_learns_from_peers() -> None:
+    """A daemon that started in a partitioned zone refused all requests."""
 
     async def check() -> None:
-        async with Scene() as scene:
-            one = await scene.start('e-a', 'a')
-            await scene.serve(one)
-            node = await scene.start(
+        async with ZoneFixture() as fixture:
+            one = await fixture.start('e-a', 'a')
+            await fixture.serve(one)
+            node = await fixture.start(
                 'e-b',
                 'b',
-                peers=(one.inward.address,),
+                peers=(one.inbound.address,),
                 platform=attrs.evolve(
                     one.daemon.settings.platform, table='http://127.0.0.1:9'
                 ),
@@ -191,23 +191,23 @@
     run(check())
 
 
-def test_one_way_cuts_are_seen_as_they_are() -> None:
-    """A cut in one direction was taken for one in both, or for none."""
+def test_one_way_partitions_are_detected() -> None:
+    """A one-way partition was taken for a two-way one, or for none."""
 
     async def check() -> None:
-        async with Scene() as scene:
-            one = await scene.start('e-a', 'a')
-            two = await scene.start('e-b', 'a')
+        async with ZoneFixture() as fixture:
+            one = await fixture.start('e-a', 'a')
+            two = await fixture.start('e-b', 'a')
             await wait_until(lambda: one.up == two.up == {'e-a', 'e-b'})
-            two.inward.forward = Flow.DROP
-            one.inward.backward = Flow.DROP
+            two.inbound.forward = Flow.DROP
+            one.inbound.backward = Flow.DROP
             await wait_until(lambda: two.up == {'e-b'})
             await asyncio.sleep(2 * TIMES.silence)
             assert (one.up, two.up) == ({'e-a', 'e-b'}, {'e-b'})
             for node in (one, two):
-                node.inward.set(Flow.DROP)
+                node.inbound.set(Flow.DROP)
             await wait_until(lambda: (one.up, two.up) == ({'e-a'}, {'e-b'}))
-            await scene.start('e-z', 'a')
+            await fixture.start('e-z', 'a')
             everybody = {'e-a', 'e-b', 'e-z'}
             await wait_until(lambda: one.up == two.up == everybody)
             for _ in range(20):
@@ -217,16 +217,16 @@
     run(check())
 
 
-def test_slices_are_spread_over_a_daemon_that_joins() -> None:
-    """Slices that change hands restarted their tasks."""
+def test_a_joining_daemon_takes_over_slices() -> None:
+    """Tasks were restarted when their slice got another owner."""
 
     async def check() -> None:
-        async with Scene(workers=12) as scene:
-            one = await scene.start('e-a', 'a', slices_per_zone=2)
-            other = await scene.start('e-b', 'b', slices_per_zone=2)
-            await scene.serve(one, 4)
+        async with ZoneFixture(workers=12) as fixture:
+            one = await fixture.start('e-a', 'a', slices_per_zone=2)
+            other = await fixture.start('e-b', 'b', slices_per_zone=2)
+            await fixture.serve(one, 4)
             assert len(one.daemon.manager.owners) == 2
-            two = await scene.start('e-c', 'a', slices_per_zone=2)
+            two = await fixture.start('e-c', 'a', slices_per_zone=2)
             nodes = (one, two)
             while {len(n.daemon.manager.owners) for n in nodes} != {1}:
                 assert await one.call() == 200
