--- a/tests/test_routing_run_state.py
+++ b/tests/test_routing_run_state.py
@@ -118,7 +118,7 @@
         )
 
 
-@pytest.mark.parametrize('ours', [False, True])
+@pytest.mark.parametrize('with_forwarder', [False, True])
 def test_libcurl_resends_on_a_closed_connection(with_forwarder: bool) -> None:
     """A plain client runs a POST twice; the forwarder runs it once."""
 
