--- a/lentilmount/coordination/mesh.py
+++ b/lentilmount/coordination/mesh.py
@@ -1,8 +1,8 @@
-"""Which members exchange heartbeats straight: all within a zone, few between.
+"""Chooses the members that exchange heartbeats directly.
 
-A full mesh costs each process a message for each other one. Within an
-availability zone it is worth that, as ownership is decided there and silence
-has to be noticed fast. Between two zones a few links carry the beats of all.
+In a full mesh each process sends a message to each other one. This is used
+within an availability zone, where ownership is decided and failures have to be
+detected fast. Between two zones a few links carry the beats of all members.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def _rank(members: Iterable[Member], key: str) -> list[Member]:
-    """Orders by rendezvous hash (Thaler and Ravishankar, 1996)."""
+    """Sorts members by rendezvous hash (Thaler and Ravishankar, 1996)."""
     return sorted(
         members,
         key=lambda m: xxhash.xxh64_intdigest(f'{key}\0{m.name}'.encode()),
@@ -23,36 +23,43 @@
 
 
 def choose_peers(membership: Membership, links: int) -> list[Member]:
-    """Returns the members that this process keeps a stream with.
+    """Returns the members with which this process keeps a heartbeat stream.
 
     Args:
-      membership: What this process knows.
-      links: How many streams join two zones.
+      membership: Membership as seen by this process.
+      links: Number of streams between two zones.
     """
-    me = membership.local_member
+    local_member = membership.local_member
     known = membership.list_known()
-    partners = [member for member in known if member.zone == me.zone]
-    for zone in sorted({m.zone for m in known} - {me.zone}):
-        there = [member for member in known if member.zone == zone]
-        partners += _choose_far(membership, there, links)
-    return partners
+    peers = [member for member in known if member.zone == local_member.zone]
+    for zone in sorted({m.zone for m in known} - {local_member.zone}):
+        remote_members = [member for member in known if member.zone == zone]
+        peers += _choose_remote(membership, remote_members, links)
+    return peers
 
 
-def _choose_far(
-    membership: Membership, there: Sequence[Member], links: int
+def _choose_remote(
+    membership: Membership, remote_members: Sequence[Member], links: int
 ) -> list[Member]:
-    me = membership.local_member
-    up = [member for member in there if membership.is_up(member.name)]
-    if not up:
-        # A zone of which nothing is heard may be cut off; whichever of its
-        # members answers first brings the others.
-        return list(there)
-    key = '/'.join(sorted((me.zone, up[0].zone)))
-    here = [m for m in membership.list_known() if m.zone == me.zone]
-    near = [m for m in here if membership.is_up(m.name)]
-    ours, theirs = _rank([me, *near], key), _rank(up, key)
+    local_member = membership.local_member
+    remote_up = [
+        member for member in remote_members if membership.is_up(member.name)
+    ]
+    if not remote_up:
+        # A zone without any member up may be partitioned; the first of its
+        # members that responds forwards the beats of the others.
+        return list(remote_members)
+    key = '/'.join(sorted((local_member.zone, remote_up[0].zone)))
+    local_members = [
+        m for m in membership.list_known() if m.zone == local_member.zone
+    ]
+    local_up = [m for m in local_members if membership.is_up(m.name)]
+    ranked_local, ranked_remote = (
+        _rank([local_member, *local_up], key),
+        _rank(remote_up, key),
+    )
     return [
-        theirs[number % len(theirs)]
-        for number in range(links)
-        if ours[number % len(ours)] is me
+        ranked_remote[index % len(ranked_remote)]
+        for index in range(links)
+        if ranked_local[index % len(ranked_local)] is local_member
     ]
--- a/lentilmount/routing/concurrency.py
+++ b/lentilmount/routing/concurrency.py
@@ -1,8 +1,9 @@
-"""How many requests at once an upstream takes without queueing.
+"""Adaptive limit of concurrent requests at an upstream.
 
-Source: the queue estimate of TCP Vegas (Brakmo and Peterson, 1995), with a
-floor that rises slowly, so that service times which drift are learned anew
-instead of being taken for a queue.
+The limit is the number of requests that the upstream handles without
+queueing. It follows the queue estimate of TCP Vegas (Brakmo and Peterson,
+1995). The base response time rises slowly, so that a lasting change of the
+service time is learned and not mistaken for a queue.
 """
 
 from __future__ import annotations
@@ -11,52 +12,54 @@
 
 SMOOTHING = 0.1
 DRIFT_SECONDS = 10.0
-"""Time in which the floor takes in most of a lasting change."""
+"""Time in which the base time adapts to most of a lasting change."""
 
-CROWDED = 2.0
-"""Ratio of time to floor above which the limit goes down."""
+QUEUEING_RATIO = 2.0
+"""Ratio of response time to base time above which the limit decreases."""
 
-STEP_DOWN = 0.95
-BUSY_STEP_DOWN = 0.7
-LEAST = 1.0
+DECREASE_FACTOR = 0.95
+REJECTION_DECREASE_FACTOR = 0.7
+MIN_LIMIT = 1.0
 
 
 @attrs.define
 class AdaptiveLimit:
-    """The limit of one upstream on this daemon.
+    """Limit of this daemon's concurrent requests at one upstream.
 
     Attributes:
-      ceiling: Most that it can become.
-      value: The limit now.
-      recent: Smoothed time of its answers, in seconds.
-      floor: The time that it takes when nothing queues, in seconds.
-      at: Monotonic time of the last answer.
+      ceiling: Upper bound of the limit.
+      value: Current limit.
+      smoothed_seconds: Smoothed response time, in seconds.
+      base_seconds: Estimated response time without queueing, in seconds.
+      updated_at: Monotonic time of the last response, in seconds.
     """
 
     ceiling: float
     value: float = attrs.Factory(
         lambda self: float(self.ceiling), takes_self=True
     )
-    recent: float = 0.0
-    floor: float = 0.0
-    at: float = 0.0
+    smoothed_seconds: float = 0.0
+    base_seconds: float = 0.0
+    updated_at: float = 0.0
 
     def observe(self, seconds: float, in_flight: int, now: float) -> None:
-        """Takes in an answer that took some time."""
-        if not self.floor:
-            self.recent = self.floor = seconds
-        self.recent += (seconds - self.recent) * SMOOTHING
-        if self.recent < self.floor:
-            self.floor = self.recent
+        """Adapts the limit to the time that a response took."""
+        if not self.base_seconds:
+            self.smoothed_seconds = self.base_seconds = seconds
+        self.smoothed_seconds += (seconds - self.smoothed_seconds) * SMOOTHING
+        if self.smoothed_seconds < self.base_seconds:
+            self.base_seconds = self.smoothed_seconds
         else:
-            passed = min(1.0, max(0.0, now - self.at) / DRIFT_SECONDS)
-            self.floor += (self.recent - self.floor) * passed
-        self.at = now
-        if self.recent > self.floor * CROWDED:
-            self.value = max(LEAST, self.value * STEP_DOWN)
+            elapsed = min(1.0, max(0.0, now - self.updated_at) / DRIFT_SECONDS)
+            self.base_seconds += (
+                self.smoothed_seconds - self.base_seconds
+            ) * elapsed
+        self.updated_at = now
+        if self.smoothed_seconds > self.base_seconds * QUEUEING_RATIO:
+            self.value = max(MIN_LIMIT, self.value * DECREASE_FACTOR)
         elif in_flight >= int(self.value):
             self.value = min(self.ceiling, self.value + 1.0 / self.value)
 
     def reduce_after_rejection(self) -> None:
-        """Takes note that the upstream refused for want of room."""
-        self.value = max(LEAST, self.value * BUSY_STEP_DOWN)
+        """Lowers the limit after the upstream refused a request as busy."""
+        self.value = max(MIN_LIMIT, self.value * REJECTION_DECREASE_FACTOR)
--- a/lentilmount/routing/ejection.py
+++ b/lentilmount/routing/ejection.py
@@ -1,9 +1,10 @@
-"""Keeping traffic from upstreams that fail, stall or are far too slow.
+"""Ejects upstreams that fail, stall or are much slower than others.
 
-SERVING -> EJECTED for a while that doubles -> RETURNING, with one request at
-a time and a rising share of the traffic -> SERVING. Never more than a set
-share of a service's upstreams is ejected: where most look bad, the cause is
-elsewhere, and the rest would be crushed.
+An upstream goes from SERVING to EJECTED, for a time that doubles with each
+ejection, then to RETURNING, with one request at a time and a rising share of
+the traffic, and back to SERVING. At most a fixed share of a service's
+upstreams is ejected: if most of them look faulty, the cause is elsewhere, and
+the remaining ones would be overloaded.
 """
 
 from __future__ import annotations
@@ -17,24 +18,26 @@
 
 MAX_EJECTED_SHARE = 0.3
 FAILURES_TO_EJECT = 5
-"""Failures in a row that eject."""
+"""Consecutive failures after which an upstream is ejected."""
 
 SLOW_FACTOR = 3.0
-"""Ratio to the median of the service's upstreams that ejects."""
+"""Ratio of response time to the median of the service's upstreams above which
+an upstream is ejected."""
 
 STALL_FACTOR = 2.5
-"""Time without any answer, as a multiple of the service's high quantile."""
+"""Time without any response after which an upstream is ejected, as a multiple
+of the high quantile of the service's response times."""
 
-LEAST_STALL_SECONDS = 0.1
+MIN_STALL_SECONDS = 0.1
 EJECT_SECONDS = 2.0
-MOST_EJECT_SECONDS = 60.0
+MAX_EJECT_SECONDS = 60.0
 RETURN_SECONDS = 5.0
-FIRST_SHARE = 0.05
+INITIAL_SHARE = 0.05
 JITTER = 0.2
 
 
 class State(enum.Enum):
-    """How an upstream stands."""
+    """State of an upstream's health."""
 
     SERVING = 'serving'
     EJECTED = 'ejected'
@@ -43,98 +46,104 @@
 
 @attrs.define
 class Health:
-    """One upstream's state.
+    """Health of one upstream.
 
     Attributes:
-      state: How it stands.
-      until: Monotonic time when the state ends by itself.
-      failures: Failures in a row.
-      ejections: Ejections without a full return in between.
+      state: Current state.
+      state_ends_at: Monotonic time at which the state ends, in seconds; unused
+        while serving.
+      failures: Consecutive failures.
+      ejections: Ejections since the upstream last returned to SERVING.
     """
 
     state: State = State.SERVING
-    until: float = 0.0
+    state_ends_at: float = 0.0
     failures: int = 0
     ejections: int = 0
 
     def advance(self, now: float) -> None:
-        """Moves on when the time of a state is over."""
-        if self.state is State.SERVING or now < self.until:
+        """Enters the next state if the time of the current one is over."""
+        if self.state is State.SERVING or now < self.state_ends_at:
             return
         if self.state is State.EJECTED:
             self.state = State.RETURNING
-            self.until = now + RETURN_SECONDS
+            self.state_ends_at = now + RETURN_SECONDS
             self.failures = 0
         else:
             self.state = State.SERVING
             self.ejections = 0
 
     def get_traffic_share(self, now: float) -> float:
-        """Returns the share of its traffic that an upstream gets now."""
+        """Returns the share of its regular traffic that the upstream gets."""
         if self.state is State.SERVING:
             return 1.0
         if self.state is State.EJECTED:
             return 0.0
-        return max(FIRST_SHARE, 1.0 - (self.until - now) / RETURN_SECONDS)
+        return max(
+            INITIAL_SHARE, 1.0 - (self.state_ends_at - now) / RETURN_SECONDS
+        )
 
     def eject(self, now: float, rng: random.Random) -> None:
-        """Ejects, for longer each time."""
-        seconds = min(MOST_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
-        # Daemons that ejected together would also come back together.
+        """Ejects the upstream, for twice as long each time."""
+        seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0**self.ejections)
+        # Without jitter, daemons that ejected an upstream at the same time
+        # would all send to it again at the same time.
         seconds *= rng.uniform(1 - JITTER, 1 + JITTER)
         self.state = State.EJECTED
-        self.until = now + seconds
+        self.state_ends_at = now + seconds
         self.ejections += 1
         self.failures = 0
 
     @property
     def is_failing(self) -> bool:
-        """Whether its failures in a row are too many."""
+        """Whether the upstream has too many consecutive failures."""
         if self.state is State.RETURNING:
             return self.failures > 0
         return self.failures >= FAILURES_TO_EJECT
 
 
 class Ejectable(Protocol):
-    """What an upstream's ejection is judged by."""
+    """Interface of an upstream that can be ejected."""
 
     @property
     def health(self) -> Health:
-        """Its state."""
+        """Health of the upstream."""
 
     @property
-    def recent(self) -> float:
-        """Smoothed seconds of its answers; 0 where there is none."""
+    def smoothed_seconds(self) -> float:
+        """Smoothed response time in seconds; 0 before the first response."""
 
-    def get_silence(self, now: float) -> float:
-        """Returns the seconds that it has owed an answer."""
+    def get_stalled_seconds(self, now: float) -> float:
+        """Returns the seconds since the last progress of pending requests."""
 
 
 def can_eject_one_more(healths: Sequence[Health]) -> bool:
-    """Tells whether one more of these may be ejected."""
-    out = sum(health.state is State.EJECTED for health in healths)
-    return out + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
+    """Returns whether one more of these upstreams may be ejected."""
+    ejected = sum(health.state is State.EJECTED for health in healths)
+    return ejected + 1 <= max(1, int(len(healths) * MAX_EJECTED_SHARE)) and (
         len(healths) > 1
     )
 
 
 def find_ejection_cause(
-    target: Ejectable, median: float, high: float, now: float
+    target: Ejectable, median: float, high_quantile: float, now: float
 ) -> str:
-    """Tells why an upstream should be ejected; '' if it should not.
+    """Returns why an upstream should be ejected, or '' if it should not.
 
     Args:
       target: The upstream.
-      median: Median of the smoothed times of the service's upstreams.
-      high: High quantile of the service's times; 0 if unknown.
-      now: Monotonic time.
+      median: Median of the smoothed response times of the service's
+        upstreams, in seconds; 0 if unknown.
+      high_quantile: High quantile of the service's response times, in seconds;
+        0 if unknown.
+      now: Monotonic time in seconds.
     """
     if target.health.is_failing:
         return 'it fails'
-    if high:
-        stall = max(LEAST_STALL_SECONDS, high * STALL_FACTOR)
-        if target.get_silence(now) > stall:
+    if high_quantile:
+        stall = max(MIN_STALL_SECONDS, high_quantile * STALL_FACTOR)
+        if target.get_stalled_seconds(now) > stall:
             return 'it does not answer'
-    if median and target.recent > median * SLOW_FACTOR:
+    if median and target.smoothed_seconds > median * SLOW_FACTOR:
         return 'it is slow'
     return ''
--- a/lentilmount/routing/router.py
+++ b/lentilmount/routing/router.py
@@ -1,4 +1,4 @@
-"""From a caller's request to an upstream's answer, or a refusal."""
+"""Routes callers' requests to upstreams, with queueing, retries and hedges."""
 
 from __future__ import annotations
 
@@ -35,23 +35,24 @@
 RETRY_AFTER_SECONDS = 0.5
 MAX_TRIES = 3
 MAX_COPIES = MAX_CLIENTS - 64
-"""Beyond this the client would hold requests back, unseen by any deadline;
-some are left for retries and hedges.
+"""Maximum copies in flight. Above the client's limit requests would wait in
+the client, where no deadline applies; some are reserved for retries and hedges.
 """
 
-LEAST_SECONDS = 0.001
-"""Shortest timeout that libcurl takes; it reads 0 as none."""
+MIN_TIMEOUT_SECONDS = 0.001
+"""Shortest timeout that libcurl accepts; it treats 0 as no timeout."""
 
 
 @attrs.define
 class RouterOptions:
-    """How a router works.
+    """Options of a router.
 
     Attributes:
-      zone: The availability zone whose upstreams come first.
-      daemon: This daemon's name.
-      entry_hosts: Most entry hosts that share an upstream's connections.
-      seed: Seed of every random choice.
+      zone: Availability zone whose upstreams are preferred.
+      daemon: Name of this daemon.
+      entry_hosts: Maximum number of entry hosts, which share an upstream's
+        connections.
+      seed: Seed of the random number generator; None for a random one.
     """
 
     zone: str
@@ -62,14 +63,15 @@
 
 @attrs.define
 class _Progress:
-    """What became of a request so far.
+    """Progress of a request.
 
     Attributes:
       call: The request.
-      deadline: Monotonic time when the caller stops waiting.
-      tried: Tasks that got a copy.
+      deadline: Monotonic time at which the caller stops waiting, in seconds.
+      tried: Ids of the tasks that were sent a copy.
       may_have_run: Whether any copy may have run.
-      misdirected: Copies that met an upstream without the service.
+      misdirected: Number of copies refused because the upstream does not serve
+        the service.
     """
 
     call: Call
@@ -80,11 +82,11 @@
 
 
 class Router:
-    """Chooses upstreams for requests.
+    """Routes requests to upstreams.
 
     Attributes:
-      pending: Requests of callers that are not answered yet.
-      pools: The upstreams of each service.
+      pending: Number of callers' requests that are not answered yet.
+      pools: Pools of upstreams, by service.
     """
 
     def __init__(
@@ -99,7 +101,7 @@
         count_daemons: Callable[[], int] = lambda: 1,
     ):
         self.pending = 0
-        self._copies = 0
+        self._copies_in_flight = 0
         self._configuration = configuration
         self._forwarder = forwarder
         self._monotonic = monotonic
@@ -120,19 +122,21 @@
 
     @property
     def in_flight(self) -> dict[str, int]:
-        """Requests that this daemon has at each upstream, by task."""
+        """Number of this daemon's requests at each upstream, by task id."""
         return self.pools.in_flight
 
     async def route(self, call: Call, timeout: float | None) -> Reply:
-        """Answers a call.
+        """Routes a call and returns the response.
 
         Args:
           call: The request.
-          timeout: Seconds that the caller waits; the service's if None.
+          timeout: Seconds that the caller waits; None for the service's
+            deadline.
 
         Raises:
           NotFoundError: There is no such service.
-          UpstreamError: No whole answer; says whether the request ran.
+          UpstreamError: There is no complete response; says whether the
+            request ran.
         """
         team, _, name = call.service.partition('/')
         spec = self._configuration.get_service(team, name)
@@ -142,30 +146,34 @@
         rate = self._configuration.get_team(team).requests_per_second
         if rate:
             self._teams.admit(team, rate, self._count_daemons(), now)
-        longest = spec.deadline_ms / 1000
-        deadline = now + min(timeout or longest, longest)
+        max_seconds = spec.deadline_ms / 1000
+        deadline = now + min(timeout or max_seconds, max_seconds)
         self.pending += 1
         try:
             pool = self.pools.get(call.service, spec)
-            return await self._answer(pool, _Progress(call, deadline))
+            return await self._send_until_answered(
+                pool, _Progress(call, deadline)
+            )
         finally:
             self.pending -= 1
 
-    async def _answer(self, pool: Pool, progress: _Progress) -> Reply:
+    async def _send_until_answered(
+        self, pool: Pool, progress: _Progress
+    ) -> Reply:
         weights = self._configuration.get_weights()
         pool.retries.earn(weights.retry_share)
         pool.hedges.earn(weights.hedge_share)
-        target: Target | None = await self._take_first(pool, progress)
+        target: Target | None = await self._acquire_first(pool, progress)
         while target is not None:
             reply = await self._send(pool, target, progress)
             if reply.result is Result.ANSWERED:
                 return reply
-            target = await self._take_again(pool, progress, reply)
+            target = await self._acquire_retry(pool, progress, reply)
         raise self._make_error(progress, reply)
 
-    async def _take_first(self, pool: Pool, progress: _Progress) -> Target:
+    async def _acquire_first(self, pool: Pool, progress: _Progress) -> Target:
         call = progress.call
-        if pool.is_empty or not pool.share:
+        if pool.is_empty or not pool.max_connections:
             raise UpstreamError(
                 f'no upstream of {call.service} is running'
                 if pool.is_empty
@@ -175,24 +183,24 @@
                 retry_after=RETRY_AFTER_SECONDS,
             )
         now = self._monotonic()
-        typical = pool.times.typical
-        left = progress.deadline - now
-        if self._copies >= MAX_COPIES:
-            raise pool.waiting.make_refusal(typical)
+        median = pool.response_times.median
+        remaining = progress.deadline - now
+        if self._copies_in_flight >= MAX_COPIES:
+            raise pool.waiting.make_overload_error(median)
         if not pool.waiting:
             target = pool.acquire((), now)
             if target is not None:
                 return target
-        predicted = pool.waiting.predict(typical, pool.in_flight)
-        patience = min(left - typical, pool.get_patience())
+        predicted = pool.waiting.predict_wait(median, pool.in_flight)
+        max_wait = min(remaining - median, pool.get_max_wait())
         return await pool.waiting.wait(
-            predicted, patience, call.is_disconnected
+            predicted, max_wait, call.is_disconnected
         )
 
-    async def _take_again(
+    async def _acquire_retry(
         self, pool: Pool, progress: _Progress, reply: Reply
     ) -> Target | None:
-        """Takes an upstream for a retry, if there may be one."""
+        """Acquires an upstream for a retry; None if no retry is allowed."""
         call = progress.call
         if progress.may_have_run and not call.idempotent:
             return None
@@ -200,13 +208,13 @@
         tries = len(progress.tried) - progress.misdirected
         if tries >= MAX_TRIES or call.is_disconnected():
             return None
-        left = progress.deadline - self._monotonic()
-        if left <= pool.times.typical:
+        remaining = progress.deadline - self._monotonic()
+        if remaining <= pool.response_times.median:
             return None
-        # What an upstream without the service refuses costs it nothing.
+        # A misdirected request causes no load, so its retry is not charged.
         if not reply.is_misdirected and not pool.retries.spend():
             return None
-        pause = choose_pause(len(progress.tried), left, self._rng)
+        pause = choose_pause(len(progress.tried), remaining, self._rng)
         await asyncio.sleep(pause)
         self.pools.refresh()
         target = pool.acquire(progress.tried, self._monotonic())
@@ -217,65 +225,70 @@
     async def _send(
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
-        """Sends a copy, and a second one where the first is slow."""
-        delay = pool.times.high
+        """Sends a copy, and a hedge if the first copy is slow."""
+        delay = pool.response_times.high_quantile
         if not progress.call.idempotent or not delay:
-            return await self._send_one(pool, target, progress)
-        first = asyncio.create_task(self._send_one(pool, target, progress))
+            return await self._send_copy(pool, target, progress)
+        first = asyncio.create_task(self._send_copy(pool, target, progress))
         done, _ = await asyncio.wait({first}, timeout=delay)
         if done:
             return first.result()
         target.latency.observe(target.get_load(), delay, self._monotonic())
-        other = self._take_hedge(pool, progress)
-        if other is None:
+        hedge_target = self._acquire_hedge(pool, progress)
+        if hedge_target is None:
             return await first
-        second = asyncio.create_task(self._send_one(pool, other, progress))
-        return await _get_first_answer(first, second)
-
-    def _take_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
-        left = progress.deadline - self._monotonic()
-        if left <= pool.times.typical or progress.call.is_disconnected():
+        second = asyncio.create_task(
+            self._send_copy(pool, hedge_target, progress)
+        )
+        return await _get_first_response(first, second)
+
+    def _acquire_hedge(self, pool: Pool, progress: _Progress) -> Target | None:
+        remaining = progress.deadline - self._monotonic()
+        if (
+            remaining <= pool.response_times.median
+            or progress.call.is_disconnected()
+        ):
             return None
-        # A copy for a service without free slots would only make the queue
-        # of the others longer.
+        # If the service has no free slots, a hedge would only delay the
+        # requests that wait for one.
         if pool.waiting or pool.hedges.balance < 1.0:
             return None
-        other = pool.acquire(progress.tried, self._monotonic())
-        if other is not None:
+        hedge_target = pool.acquire(progress.tried, self._monotonic())
+        if hedge_target is not None:
             pool.hedges.spend()
-            self._record(EventKind.HEDGE, other, progress.call, 'slow')
-        return other
+            self._record(EventKind.HEDGE, hedge_target, progress.call, 'slow')
+        return hedge_target
 
-    async def _send_one(
+    async def _send_copy(
         self, pool: Pool, target: Target, progress: _Progress
     ) -> Reply:
         upstream = target.upstream
         progress.tried.add(upstream.task)
-        began = self._monotonic()
-        left = max(LEAST_SECONDS, progress.deadline - began)
-        self._copies += 1
+        started_at = self._monotonic()
+        remaining = max(MIN_TIMEOUT_SECONDS, progress.deadline - started_at)
+        self._copies_in_flight += 1
         reply = await self._forwarder.send(
-            upstream.address, progress.call, left, pool.share
+            upstream.address, progress.call, remaining, pool.max_connections
         )
-        self._copies -= 1
+        self._copies_in_flight -= 1
         if reply.result is not Result.NOT_RUN:
             progress.may_have_run = True
         if reply.is_leaving:
             self.pools.mark_leaving(
                 LeavingMark(upstream.worker, upstream.boot), 'itself'
             )
-        # What waits must not be given an upstream that left meanwhile.
+        # Waiting requests must not be assigned an upstream that has left.
         self.pools.refresh()
-        pool.release(target, reply, began, self._monotonic())
+        pool.release(target, reply, started_at, self._monotonic())
         return reply
 
     def _make_error(self, progress: _Progress, reply: Reply) -> UpstreamError:
-        late = self._monotonic() >= progress.deadline
-        busy = reply.is_busy and not progress.may_have_run
-        kind = ErrorKind.OVERLOADED if busy else ErrorKind.UPSTREAM_FAILED
+        is_late = self._monotonic() >= progress.deadline
+        is_busy = reply.is_busy and not progress.may_have_run
+        kind = ErrorKind.OVERLOADED if is_busy else ErrorKind.UPSTREAM_FAILED
         return UpstreamError(
             f'{progress.call.service}: {reply.error}',
-            kind=ErrorKind.DEADLINE if late else kind,
+            kind=ErrorKind.DEADLINE if is_late else kind,
             ran=Ran.UNKNOWN if progress.may_have_run else Ran.NO,
             retry_after=RETRY_AFTER_SECONDS,
         )
@@ -295,13 +308,13 @@
         )
 
 
-async def _get_first_answer(
+async def _get_first_response(
     first: asyncio.Task[Reply], second: asyncio.Task[Reply]
 ) -> Reply:
-    """Returns the first whole answer, or the last failure.
+    """Returns the first complete response, or the last failure.
 
     The slower copy is not cancelled: it occupies the upstream until it ends,
-    and is counted there for as long.
+    and is counted there until then.
     """
     done, pending = await asyncio.wait(
         {first, second}, return_when=asyncio.FIRST_COMPLETED
--- a/lentilmount/routing/target.py
+++ b/lentilmount/routing/target.py
@@ -1,4 +1,4 @@
-"""One upstream as this daemon's routing sees it."""
+"""Routing state of one upstream on this daemon."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from lentilmount.routing.ejection import Health, State
 from lentilmount.routing.latency import LatencyModel
 
-LOAD_SECONDS = 0.5
-"""Time over which the load told to peers is averaged: one heartbeat."""
+LOAD_AVERAGING_SECONDS = 0.5
+"""Time over which the load reported to peers is averaged: one heartbeat."""
 
 
 class Target:
-    """An upstream's load, limit, latency and health.
+    """Load, limit, latency and health of an upstream.
 
     Attributes:
       upstream: The upstream.
-      own_in_flight: Requests that this daemon has there.
-      other_in_flight: Requests that the other daemons said they have there.
-      slots: Requests that it runs at once.
-      fair_share: Slots that are this daemon's if all daemons want some.
-      share: Most connections of this daemon.
-      limit: What it takes without queueing, as learned.
-      latency: How long it takes at which load.
-      health: Whether it may be used.
+      own_in_flight: Number of this daemon's requests there.
+      other_in_flight: Number of other daemons' requests there, as reported.
+      slots: Number of requests that the upstream runs concurrently.
+      fair_share: This daemon's slots when all daemons send requests.
+      max_connections: Maximum connections of this daemon to the upstream.
+      limit: Adaptive limit of requests without queueing.
+      latency: Estimates of the response time by load.
+      health: Ejection state.
     """
 
     __slots__ = (
-        '_average',
+        '_mean_in_flight',
         '_averaged_at',
         '_progress_at',
         'fair_share',
@@ -38,104 +38,107 @@
         'limit',
         'other_in_flight',
         'own_in_flight',
-        'share',
+        'max_connections',
         'slots',
         'upstream',
     )
 
-    def __init__(self, upstream: Upstream, slots: int, share: int):
+    def __init__(self, upstream: Upstream, slots: int, max_connections: int):
         self.upstream = upstream
         self.own_in_flight = 0
         self.other_in_flight = 0.0
         self.slots = slots
         self.fair_share = slots
-        self.share = share
-        self.limit = AdaptiveLimit(float(max(1, share)))
+        self.max_connections = max_connections
+        self.limit = AdaptiveLimit(float(max(1, max_connections)))
         self.latency = LatencyModel()
         self.health = Health()
-        self._average = 0.0
+        self._mean_in_flight = 0.0
         self._averaged_at = 0.0
         self._progress_at = 0.0
 
     @property
-    def recent(self) -> float:
+    def smoothed_seconds(self) -> float:
         """See `Ejectable`."""
-        return self.limit.recent
+        return self.limit.smoothed_seconds
 
-    def get_silence(self, now: float) -> float:
+    def get_stalled_seconds(self, now: float) -> float:
         """See `Ejectable`."""
         return now - self._progress_at if self.own_in_flight else 0.0
 
     def get_request_limit(self) -> int:
-        """Returns how many requests this daemon may have here now.
+        """Returns the number of requests that this daemon may have here now.
 
-        The connection share is the hard end. Within it a daemon takes its
-        fair part of the slots, and more where the others leave some unused.
+        The connection limit is a hard bound. Within it a daemon uses its fair
+        share of the slots, and more if other daemons leave some unused.
         """
         if self.health.state is State.RETURNING:
-            return min(1, self.share)
-        room = max(self.fair_share, self.slots - round(self.other_in_flight))
-        return min(self.share, int(self.limit.value), room)
+            return min(1, self.max_connections)
+        available = max(
+            self.fair_share, self.slots - round(self.other_in_flight)
+        )
+        return min(self.max_connections, int(self.limit.value), available)
 
     def is_open(self) -> bool:
-        """Tells whether one more request may be sent."""
+        """Returns whether one more request may be sent."""
         return (
             self.own_in_flight < self.get_request_limit()
             and self.health.state is not State.EJECTED
         )
 
     def get_load(self) -> float:
-        """Returns the share of the slots in use, one more included."""
+        """Returns the share of the slots in use, including one more request."""
         return (self.own_in_flight + self.other_in_flight + 1.0) / self.slots
 
-    def get_cost(self, unknown: float, now: float) -> float:
-        """Returns the expected seconds of one more request.
+    def get_cost(self, default_seconds: float, now: float) -> float:
+        """Returns the expected response time of one more request, in seconds.
 
-        An upstream that has owed an answer for some time takes at least as
-        long; one that falls silent gives no other sign.
+        An upstream whose pending requests make no progress is expected to
+        take at least that long: it is the only sign that it has stalled.
         """
-        expected = self.latency.estimate(self.get_load(), unknown, now)
-        return max(expected, self.get_silence(now))
+        expected = self.latency.estimate(self.get_load(), default_seconds, now)
+        return max(expected, self.get_stalled_seconds(now))
 
     def begin(self, now: float) -> None:
-        """Takes note that a request is sent."""
-        self._average_load(now)
+        """Records that a request is sent."""
+        self._update_mean(now)
         if not self.own_in_flight:
             self._progress_at = now
         self.own_in_flight += 1
 
     def end(self, now: float) -> None:
-        """Takes note that a request is over."""
-        self._average_load(now)
+        """Records that a request has ended."""
+        self._update_mean(now)
         self.own_in_flight -= 1
         self._progress_at = now
 
     def observe(self, seconds: float, now: float) -> None:
-        """Takes in the time of an answer; called before `end`."""
+        """Records the time of a response; to be called before `end`."""
         self.limit.observe(seconds, self.own_in_flight, now)
         load = (self.own_in_flight + self.other_in_flight) / self.slots
         self.latency.observe(load, seconds, now)
 
-    def _average_load(self, now: float) -> None:
-        passed = now - self._averaged_at
-        fade = math.exp(-passed / LOAD_SECONDS)
-        self._average = (
-            self.own_in_flight + (self._average - self.own_in_flight) * fade
+    def _update_mean(self, now: float) -> None:
+        elapsed = now - self._averaged_at
+        decay = math.exp(-elapsed / LOAD_AVERAGING_SECONDS)
+        self._mean_in_flight = (
+            self.own_in_flight
+            + (self._mean_in_flight - self.own_in_flight) * decay
         )
         self._averaged_at = now
 
-    def read_average(self, now: float) -> float:
-        """Returns the smoothed number of own requests, for peers."""
-        self._average_load(now)
-        return self._average
+    def get_mean_in_flight(self, now: float) -> float:
+        """Returns this daemon's smoothed number of requests, for peers."""
+        self._update_mean(now)
+        return self._mean_in_flight
 
-    def resize(self, slots: int, share: int) -> None:
-        """Takes in what the service declares now."""
+    def resize(self, slots: int, max_connections: int) -> None:
+        """Applies the slots and connections of the current specification."""
         self.slots = slots
-        self.share = share
-        self.limit.ceiling = float(max(1, share))
+        self.max_connections = max_connections
+        self.limit.ceiling = float(max(1, max_connections))
 
-    def restart(self) -> None:
-        """Forgets what was learned, when it returns after an ejection."""
+    def reset(self) -> None:
+        """Discards all estimates, when the upstream returns after ejection."""
         self.latency.forget()
         self.limit = AdaptiveLimit(self.limit.ceiling)
