--- a/lentilmount/clock.py
+++ b/lentilmount/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: durations on the monotonic clock, order by hybrid logical time."""
+"""Monotonic and wall clocks, and a hybrid logical clock to order events."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Clock(Protocol):
-    """Where a part reads the time, so that tests can set it."""
+    """Source of the time; tests replace it by `ManualClock`."""
 
     def monotonic(self) -> float:
-        """Returns seconds for durations; never goes back."""
+        """Returns monotonic time in seconds, for durations."""
 
     def wall(self) -> float:
-        """Returns seconds since the epoch; may jump."""
+        """Returns Unix time in seconds; may jump."""
 
 
 class SystemClock:
@@ -32,7 +32,7 @@
 
 @attrs.define
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that advances only when a test advances it."""
 
     now: float = 1000.0
 
@@ -45,13 +45,13 @@
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Moves the clock on."""
+        """Advances the clock."""
         self.now += seconds
 
 
 @attrs.frozen(order=True)
 class Stamp:
-    """A hybrid logical time: wall milliseconds, then a counter."""
+    """A hybrid logical timestamp: Unix milliseconds, then a counter."""
 
     millis: int
     counter: int
@@ -59,7 +59,7 @@
 
 @attrs.define
 class HybridClock:
-    """Gives stamps that order causes before effects across daemons.
+    """Issues timestamps that order causes before effects across daemons.
 
     Source: Kulkarni et al., "Logical Physical Clocks", 2014.
     """
@@ -68,7 +68,7 @@
     last: Stamp = Stamp(0, 0)
 
     def tick(self) -> Stamp:
-        """Returns a stamp later than every one given or seen."""
+        """Returns a timestamp later than every one issued or observed."""
         millis = int(self.clock.wall() * 1000)
         if millis > self.last.millis:
             self.last = Stamp(millis, 0)
@@ -77,5 +77,5 @@
         return self.last
 
     def observe(self, seen: Stamp) -> None:
-        """Takes note of another daemon's stamp."""
+        """Records another daemon's timestamp, so later ones follow it."""
         self.last = max(self.last, seen)
--- a/lentilmount/errors.py
+++ b/lentilmount/errors.py
@@ -1,7 +1,8 @@
-"""The closed list of error kinds, the answer to each, and the exceptions.
+"""The closed list of error kinds, the response to each, and the exceptions.
 
-An error leaves a daemon as a problem document (RFC 9457) whose `kind` is one
-of `ErrorKind`. The header `Lentilmount-Ran` says whether the request ran.
+Daemons return errors as problem documents (RFC 9457) whose `kind` is one of
+`ErrorKind`. The header `Lentilmount-Ran` says whether the request may have run
+on an upstream.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every kind of error there is."""
+    """The kinds of error that are reported to callers."""
 
     INVALID = 'invalid'
     UNAUTHENTICATED = 'unauthenticated'
@@ -46,13 +47,13 @@
 
 @attrs.frozen
 class Answer:
-    """How one kind of error is told.
+    """How one kind of error is reported.
 
     Attributes:
       http: HTTP status code.
-      title: What the kind means, for people.
+      title: Human-readable summary of the kind.
       exit_status: Exit status of the command-line tool.
-      retry: Whether the same call can succeed later, unchanged.
+      retry: Whether the unchanged call can succeed later.
     """
 
     http: int
@@ -113,7 +114,7 @@
 
 @attrs.frozen
 class FieldProblem:
-    """One wrong field: where, what is wrong, and how to mend it."""
+    """An invalid field: its path, what is wrong, and how to fix it."""
 
     field: str
     problem: str
@@ -128,15 +129,15 @@
 
 
 class LentilmountError(Exception):
-    """Any failure that is told to a caller.
+    """Base class of the errors that are reported to a caller.
 
     Attributes:
-      kind: One of the closed list.
-      detail: What happened, for people.
-      ran: Whether the request may have run.
-      retry_after: Seconds after which asking again makes sense, or None.
-      fields: The wrong fields of the input.
-      extra: More members of the problem document.
+      kind: Kind of error; selects the HTTP status and the exit status.
+      detail: Human-readable description of what happened.
+      ran: Whether the request may have run on an upstream.
+      retry_after: Seconds to wait before a retry, or None.
+      fields: The invalid fields of the input.
+      extra: Additional members of the problem document.
     """
 
     kind = ErrorKind.INTERNAL
@@ -161,42 +162,42 @@
 
     @property
     def answer(self) -> Answer:
-        """The row of `ANSWERS` for this error."""
+        """The entry of `ANSWERS` for this kind of error."""
         return ANSWERS[self.kind]
 
 
 class InvalidError(LentilmountError):
-    """Input that can never be accepted as it is."""
+    """The input is invalid and would be rejected again unchanged."""
 
     kind = ErrorKind.INVALID
 
 
 class NotFoundError(LentilmountError):
-    """A resource or route that does not exist or is not visible."""
+    """The resource or route does not exist or is not visible."""
 
     kind = ErrorKind.NOT_FOUND
 
 
 class ConflictError(LentilmountError):
-    """The loser of a race between operators."""
+    """The resource was changed concurrently by another operator."""
 
     kind = ErrorKind.CONFLICT
 
 
 class AccessError(LentilmountError):
-    """A token that is absent, wrong, or too narrow."""
+    """The token is missing, unknown, or does not allow the request."""
 
     kind = ErrorKind.FORBIDDEN
 
 
 class StoreError(LentilmountError):
-    """The platform's table service or object store does not answer."""
+    """The platform's table service or object store is unavailable."""
 
     kind = ErrorKind.STORE_UNAVAILABLE
 
 
 class UnknownOutcomeError(StoreError):
-    """A call to the platform's services that may have had its effect."""
+    """A call to a platform service failed but may have taken effect."""
 
     kind = ErrorKind.DEADLINE
 
@@ -205,19 +206,19 @@
 
 
 class GoneError(LentilmountError):
-    """Something that is no longer kept, or never was."""
+    """The requested data was pruned or never existed."""
 
     kind = ErrorKind.GONE
 
 
 class UpstreamError(LentilmountError):
-    """A request that an upstream did not answer whole."""
+    """An upstream failed before it completed its response."""
 
     kind = ErrorKind.UPSTREAM_FAILED
 
 
 class SettingsError(LentilmountError):
-    """Settings that cannot be used."""
+    """The settings are invalid."""
 
     kind = ErrorKind.INVALID
 
--- a/lentilmount/events.py
+++ b/lentilmount/events.py
@@ -1,4 +1,4 @@
-"""The time line: typed events in a bounded ring, one ring a daemon."""
+"""The event timeline: typed events in a bounded ring buffer per daemon."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from lentilmount.clock import Clock, HybridClock, Stamp, SystemClock
 
 log = logbook.Logger('events', level=logbook.INFO)
-"""Events are debug lines. The level stands here too, because a line that a
-handler drops has cost most of its time by then."""
+"""Logs events at debug level. The level is also set here, because formatting a
+record that the handler then drops costs almost as much as writing it."""
 
 RING_SIZE = 8192
 
 
 class EventKind(enum.Enum):
-    """What happened."""
+    """The kinds of event."""
 
     STARTED = 'daemon-started'
     STOPPING = 'daemon-stopping'
@@ -53,19 +53,19 @@
 
 @attrs.frozen
 class Event:
-    """One entry of the time line.
+    """One entry of the timeline.
 
     Attributes:
-      stamp: Hybrid logical time.
-      daemon: Who recorded it.
-      part: Which part of the daemon.
-      kind: What happened.
-      resource: The resource it is about, as kind/team/name.
+      stamp: Hybrid logical timestamp.
+      daemon: Name of the daemon that recorded it.
+      part: Component of the daemon that recorded it.
+      kind: Kind of event.
+      resource: Path of the resource, as kind/team/name, or ''.
       attempt: Attempt number of a task, 0 where there is none.
-      worker: The worker concerned, or ''.
-      request: Request id, or ''.
-      cause: Why, in a few words.
-      seconds: How long it took, 0 for a moment.
+      worker: Name of the worker, or ''.
+      request: Id of the request, or ''.
+      cause: Human-readable reason.
+      seconds: Duration in seconds; 0 for an instantaneous event.
     """
 
     stamp: Stamp
@@ -81,7 +81,7 @@
 
 
 class EventLog:
-    """A bounded ring of events; the oldest go first."""
+    """A bounded ring buffer of events that drops the oldest first."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         cause: str = '',
         seconds: float = 0.0,
     ) -> Event:
-        """Adds an event and returns it."""
+        """Records an event, logs it at debug level, and returns it."""
         event = Event(
             self.hybrid.tick(),
             self.daemon,
@@ -126,7 +126,7 @@
     def select(
         self, after: Stamp | None = None, resource: str = ''
     ) -> Iterator[Event]:
-        """Yields events later than a stamp, of a resource if given."""
+        """Yields events after a timestamp, of one resource path if given."""
         for event in tuple(self._ring):
             if after is not None and event.stamp <= after:
                 continue
@@ -135,7 +135,7 @@
 
 
 def is_within(resource: str, wanted: str) -> bool:
-    """Tells whether a path is another one or lies below it; '' holds all."""
+    """Returns whether a path equals another or is below it; '' matches all."""
     wanted = wanted.rstrip('/')
     return not wanted or f'{resource}/'.startswith(f'{wanted}/')
 
--- a/lentilmount/lines.py
+++ b/lentilmount/lines.py
@@ -1,4 +1,4 @@
-"""Where each field of a JSON text with comments stands."""
+"""Finds the line numbers of fields in JSON text with comments."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @attrs.define
 class _Level:
-    """An object or a list that is open.
+    """An object or list that is not closed yet.
 
     Attributes:
-      path: Its own path.
+      path: Path of the object or list.
       is_list: Whether it is a list.
-      index: Number of the current item of a list.
+      index: Index of the current item of a list.
       key: Current key of an object, or ''.
     """
 
@@ -42,8 +42,8 @@
 def find_lines(text: str) -> dict[str, int]:
     """Returns the line of each field, by path such as access[0].verbs.
 
-    The text is taken as it comes: a library has parsed it, and this only
-    tells people where to look.
+    The text is not validated: the JSON library does that, and the lines only
+    serve error messages.
     """
     lines: dict[str, int] = {}
     levels = [_Level('')]
@@ -54,12 +54,12 @@
             level.key = match['text'].strip('"\'')
         if match['space'] is None and match['mark'] not in tuple('}],:'):
             lines.setdefault(level.make_path(), line)
-        _follow(levels, match['mark'])
+        _update_levels(levels, match['mark'])
         line += match[0].count('\n')
     return lines
 
 
-def _follow(levels: list[_Level], mark: str | None) -> None:
+def _update_levels(levels: list[_Level], mark: str | None) -> None:
     level = levels[-1]
     if mark in ('{', '['):
         path = level.make_path() if len(levels) > 1 else ''
@@ -72,14 +72,14 @@
 
 
 def find_line(lines: dict[str, int], path: str) -> int:
-    """Returns the line of a field, or of the closest one around it."""
+    """Returns the line of a field, or of its closest enclosing field."""
     while path and path not in lines:
         path = path[: max(path.rfind('.'), path.rfind('['), 0)]
     return lines.get(path, 1)
 
 
 def find_open_comment(text: str) -> int | None:
-    """Returns the line of a comment that is never closed, or None."""
+    """Returns the line of an unterminated comment, or None."""
     for match in _TOKEN.finditer(text):
         if match['mark'] == '/' and text.startswith('/*', match.start()):
             return text.count('\n', 0, match.start()) + 1
--- a/lentilmount/logflow.py
+++ b/lentilmount/logflow.py
@@ -1,10 +1,10 @@
-"""Log lines that cannot hold up or flood a daemon.
+"""A log handler that never blocks and limits the rate of each message.
 
-Failure: whoever reads the daemon's output stops reading, the pipe fills, and
-the next line blocks the event loop; every lease the daemon holds lapses. Or a
-fault repeats thousands of times a second, and writing the lines takes the
-processor that the work needs. Here a line that cannot be written at once is
-dropped, and each kind of line has a budget; both are counted and told.
+If the reader of the daemon's output stalls, the pipe fills and a blocking
+write would stop the event loop until every lease of the daemon expires. If a
+fault repeats thousands of times a second, writing its lines would use the CPU
+time that the work needs. So lines that do not fit the backlog are dropped, and
+each kind of line has a limit per second; both are counted and reported.
 """
 
 from __future__ import annotations
@@ -21,23 +21,24 @@
 from lentilmount.logs import LEVELS, make_line
 
 LINES_A_SECOND = 200
-"""For each kind of line: some 100 starts a second are told in full at the
-present size. A line costs about 25 us, so one kind takes 0.5% of a core."""
+"""Limit for each kind of line. It logs in full the 100 or so starts a second
+of the current deployment size. A line costs about 25 us, so one kind uses at
+most 0.5% of a core."""
 
 BACKLOG_BYTES = 256 * 1024
-"""Kept for a reader that is slow for a moment; beyond it lines are dropped."""
+"""Bound on buffered output for a slow reader; lines beyond it are dropped."""
 
-Kind = tuple[str, str]
-"""The part that logs, and the text before its values are filled in."""
+LineKind = tuple[str, str]
+"""Name of the logger, and the message before formatting."""
 
 
 class FlowHandler(logbook.Handler):  # type: ignore[misc]
     """Writes JSON lines to a file descriptor that never blocks.
 
     Args:
-      descriptor: Where to write; it is made non-blocking.
-      level: From which level on.
-      clock: Seconds, for the budget.
+      descriptor: File descriptor to write to; it is made non-blocking.
+      level: Name of the minimum level.
+      clock: Returns monotonic time in seconds, for the rate limit.
     """
 
     def __init__(
@@ -51,27 +52,27 @@
         self._descriptor = descriptor
         self._clock = clock
         self._second = 0
-        self._used: collections.Counter[Kind] = collections.Counter()
-        self._left_out: collections.Counter[Kind] = collections.Counter()
+        self._line_counts: collections.Counter[LineKind] = collections.Counter()
+        self._suppressed: collections.Counter[LineKind] = collections.Counter()
         self._backlog = bytearray()
         self.dropped = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Writes a line, unless its kind has used up its budget."""
+        """Writes a line, unless its kind has reached the limit per second."""
         second = int(self._clock())
         if second != self._second:
-            self._tell_left_out()
+            self._report_suppressed()
             self._second = second
-            self._used.clear()
+            self._line_counts.clear()
         kind = (record.channel or '', str(record.msg))
-        self._used[kind] += 1
-        if self._used[kind] > LINES_A_SECOND:
-            self._left_out[kind] += 1
+        self._line_counts[kind] += 1
+        if self._line_counts[kind] > LINES_A_SECOND:
+            self._suppressed[kind] += 1
             return
         self._write(make_line(record))
 
-    def _tell_left_out(self) -> None:
-        for (part, text), count in self._left_out.items():
+    def _report_suppressed(self) -> None:
+        for (part, text), count in self._suppressed.items():
             self._write(
                 {
                     'level': 'warning',
@@ -80,7 +81,7 @@
                     'of': f'{part}: {text}',
                 }
             )
-        self._left_out.clear()
+        self._suppressed.clear()
 
     def _write(self, line: dict[str, Any]) -> None:
         if self.dropped and not self._backlog:
@@ -99,9 +100,9 @@
                 written = os.write(self._descriptor, self._backlog)
                 del self._backlog[:written]
         except BlockingIOError:
-            # The reader is slow; the rest goes out with the next line.
+            # The reader is slow; the rest is written with the next line.
             return
         except OSError:
-            # Nobody reads any more: there is nowhere left to tell it.
+            # The reader is gone, so the error cannot be reported anywhere.
             self.dropped += 1
             self._backlog.clear()
--- a/lentilmount/logs.py
+++ b/lentilmount/logs.py
@@ -1,7 +1,7 @@
-"""Log lines: a prefix for each part and a short sentence, or JSON.
+"""Log formats, as text or JSON, and ids that are added to log lines.
 
-Ids that a part binds, such as the request's, stand on each line that is
-logged from the same asyncio task.
+Bound ids, such as a request id, are added to every line that the same asyncio
+task logs.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 def bind(**ids: str) -> contextvars.Token[Mapping[str, str]]:
-    """Puts ids on the lines that this asyncio task logs from now on."""
+    """Adds ids to all further log lines of the current asyncio task."""
     return _bound.set({**_bound.get({}), **ids})
 
 
 @contextlib.contextmanager
 def bound(**ids: str) -> Iterator[None]:
-    """Puts ids on the lines that are logged in the block."""
+    """Adds ids to the log lines that are logged within the block."""
     token = bind(**ids)
     try:
         yield
@@ -60,7 +60,7 @@
 
 
 def make_line(record: logbook.LogRecord) -> dict[str, Any]:
-    """Builds the fields of a line in JSON."""
+    """Returns the fields of a JSON log line."""
     line = {
         'time': record.time.isoformat(),
         'level': record.level_name.lower(),
@@ -83,7 +83,7 @@
 def make_handler(
     log_format: str, level: str, stream: TextIO | None = None
 ) -> logbook.Handler:
-    """Builds the handler that the daemon logs to."""
+    """Builds a log handler that writes to a stream, by default stderr."""
     handler = logbook.StreamHandler(
         stream or sys.stderr, level=LEVELS[level], bubble=False
     )
@@ -93,7 +93,7 @@
 
 @contextlib.contextmanager
 def capture_libraries() -> Iterator[None]:
-    """Sends what libraries log by `logging` the way of all other lines."""
+    """Redirects messages that libraries log with `logging` to logbook."""
     root = logging.getLogger()
     before, level = root.handlers[:], root.level
     root.handlers[:] = [RedirectLoggingHandler()]
--- a/lentilmount/waiting.py
+++ b/lentilmount/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for an event, but not for ever."""
+"""Waits for an asyncio event with a timeout."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 async def wait_with_timeout(event: asyncio.Event, seconds: float) -> None:
-    """Waits until an event is set or the time is over.
+    """Waits until an event is set or the timeout, in seconds, has passed.
 
-    `asyncio.wait_for` of Python 3.11 loses a cancellation that comes in the
-    moment in which the event is set. A link would then go on after its owner
-    had ended, and the owner would wait for it for ever.
+    `asyncio.wait_for` of Python 3.11 loses a cancellation that arrives just as
+    the event is set. The cancelled worker session would then keep running, and
+    the owner that cancelled it would wait for it forever.
     """
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
