--- a/lentilmount/access.py
+++ b/lentilmount/access.py
@@ -1,4 +1,4 @@
-"""Who may do what, by bearer token."""
+"""Authentication and authorization by bearer token."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Verb(enum.Enum):
-    """What a token can allow."""
+    """The actions that a token can allow."""
 
     CALL = 'call'
     READ = 'read'
@@ -25,12 +25,12 @@
 
 @attrs.frozen
 class Grant:
-    """What a request's token allows.
+    """The permissions of a request's token.
 
     Attributes:
-      name: Who holds the token.
-      team: The team, or '*'.
-      verbs: What it allows.
+      name: Name of the token's holder.
+      team: Team whose resources it may access; '*' for every team.
+      verbs: Allowed actions.
     """
 
     name: str
@@ -38,23 +38,23 @@
     verbs: frozenset[Verb]
 
     def sees(self, team: str) -> bool:
-        """Tells whether a team's things are visible."""
+        """Returns whether a team's resources are visible."""
         return self.team in (EVERY_TEAM, team)
 
     @property
     def sees_platform(self) -> bool:
-        """Whether what belongs to no team is visible."""
+        """Whether resources that belong to no team are visible."""
         return self.team == EVERY_TEAM
 
     def require(self, verb: Verb, team: str) -> None:
-        """Checks that the token allows a verb on a team's things.
+        """Checks that the token allows a verb on a team's resources.
 
-        The answer depends on the token and the team alone, and is given
-        before anything is looked up, so it tells nobody whether a resource of
-        another team exists.
+        The result depends only on the token and the team, and callers check
+        it before they read any resource, so a refusal does not disclose
+        whether a resource of another team exists.
 
         Raises:
-          AccessError: It does not.
+          AccessError: The token does not allow it.
         """
         if verb not in self.verbs:
             raise AccessError(
@@ -69,14 +69,14 @@
 
 
 class Gate:
-    """Finds the grant of a token."""
+    """Authenticates requests: maps bearer tokens to their grants."""
 
     def __init__(self, access: Iterable[AccessSettings]):
         self._grants: dict[str, Grant] = {}
         self.replace(access)
 
     def replace(self, access: Iterable[AccessSettings]) -> None:
-        """Takes new grants; requests that are under way keep theirs."""
+        """Replaces all grants; requests in progress keep theirs."""
         self._grants = {
             entry.sha256: Grant(
                 entry.name,
@@ -89,16 +89,16 @@
     def admit(self, header: str) -> Grant:
         """Returns the grant of an Authorization header.
 
-        The look-up is by the token's hash. How long it takes can tell only
-        about hashes, from which no token can be found.
+        The lookup is by the token's hash, so its duration can disclose only
+        hashes, from which a token cannot be computed.
 
         Raises:
-          AccessError: There is no valid token.
+          AccessError: The header has no valid token.
         """
         scheme, _, token = header.partition(' ')
-        given = hashlib.sha256(token.strip().encode()).hexdigest()
-        if scheme.lower() == 'bearer' and given in self._grants:
-            return self._grants[given]
+        token_hash = hashlib.sha256(token.strip().encode()).hexdigest()
+        if scheme.lower() == 'bearer' and token_hash in self._grants:
+            return self._grants[token_hash]
         raise AccessError(
             'send a known token as "Authorization: Bearer TOKEN"',
             kind=ErrorKind.UNAUTHENTICATED,
--- a/lentilmount/codec.py
+++ b/lentilmount/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to and from JSON, with every wrong field named."""
+"""Converts typed messages to and from JSON; reports every invalid field."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 T = TypeVar('T')
 
 _QUOTED_NAME = re.compile(r"^'\w+' ")
-"""How attrs validators begin a message; the path names the field already."""
+"""Field name that attrs validators prepend to a message; removed, because the
+path already names the field."""
 
 
 class _WrongValueError(ValueError):
-    """A value that the field cannot hold."""
+    """The value is not valid for its field."""
 
 
-def _show(value: Any, most: int = 60) -> str:
+def _show(value: Any, max_length: int = 60) -> str:
     text = repr(value)
-    return text if len(text) <= most else text[:most] + '...'
+    return text if len(text) <= max_length else text[:max_length] + '...'
 
 
 def _strict(name: str, expected: type, accepted: tuple[type, ...]) -> Any:
@@ -85,7 +86,7 @@
 
     def structure(value: Any, _: Any) -> tuple[Any, ...]:
         # A string is iterable too: without this check "alex-a" would be
-        # taken for a list of six zones.
+        # accepted as a list of six zones.
         if not isinstance(value, list | tuple):
             raise _WrongValueError(f'must be a list, not {_show(value)}')
         items, errors = [], []
@@ -104,10 +105,10 @@
 
 
 def _structure_each_field(value: Any, cls: Any) -> Any:
-    """Builds an attrs class, collecting what is wrong with every field.
+    """Builds an attrs instance and collects the errors of all fields.
 
     The converter's generated code is faster, but runs the validators in the
-    constructor, where the first that fails hides the others.
+    constructor, which raises at the first failure.
     """
     if not isinstance(value, dict):
         raise _WrongValueError(f'must be an object, not {_show(value)}')
@@ -179,7 +180,7 @@
 
 @attrs.frozen
 class _Envelope:
-    """A resource whose spec is not yet read."""
+    """A resource whose spec is not converted yet."""
 
     kind: Kind
     metadata: Metadata
@@ -191,7 +192,7 @@
     """Builds a typed message from parsed JSON.
 
     Raises:
-      InvalidError: With one `FieldProblem` for each wrong field.
+      InvalidError: The value is invalid; has a `FieldProblem` per field.
     """
     try:
         return CONVERTER.structure(value, cls)
@@ -223,7 +224,7 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Builds plain JSON values from a typed message."""
+    """Converts a typed message to plain JSON values."""
     return CONVERTER.unstructure(value)
 
 
@@ -231,7 +232,7 @@
     """Builds a typed message from JSON bytes.
 
     Raises:
-      InvalidError: Not JSON, or a wrong field.
+      InvalidError: The data is not JSON or a field is invalid.
     """
     return structure(parse_json(data), cls)
 
@@ -240,7 +241,8 @@
     """Parses JSON bytes.
 
     Raises:
-      InvalidError: Empty, not UTF-8, or not JSON, with the place.
+      InvalidError: The data is empty, not UTF-8 or not JSON; the message
+        gives the position.
     """
     if not data.strip():
         raise InvalidError('the body is empty; send a JSON object')
@@ -269,8 +271,8 @@
     value = dict(pairs)
     if len(value) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise _WrongValueError(f'field {", ".join(twice)} is given twice')
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        raise _WrongValueError(f'field {", ".join(duplicates)} is given twice')
     return value
 
 
@@ -279,5 +281,5 @@
 
 
 def encode(value: Any) -> bytes:
-    """Builds JSON bytes from a typed message."""
+    """Converts a typed message to JSON bytes."""
     return json.dumps(unstructure(value), separators=(',', ':')).encode()
--- a/lentilmount/configuration.py
+++ b/lentilmount/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: what operators declared, up to a revision."""
+"""The active configuration: what operators declared, up to a revision."""
 
 from __future__ import annotations
 
@@ -27,18 +27,19 @@
         Kind.CONFIGURATION,
     }
 )
-"""Kinds that take part in the configuration's revision."""
+"""Kinds of resource that are part of the configuration."""
 
 CONFIGURATION_LOG = 'configuration'
 DEFAULT_NAME = 'default'
 
 RECENT_CHANGES = 500
-"""Most changes kept for peers that are behind; others get a snapshot."""
+"""Maximum changes kept for peers that are behind; peers further behind load a
+snapshot."""
 
 
 @attrs.frozen
 class Change:
-    """One accepted change: a resource, or None where it was deleted."""
+    """One accepted change: the new resource, or None if it was deleted."""
 
     revision: int
     path: str
@@ -46,11 +47,11 @@
 
 
 class Configuration:
-    """What is in force here; its revision only rises.
+    """The configuration that is active in this daemon; never goes back.
 
     Attributes:
-      revision: The newest change that is in force; 0 for none.
-      known: The newest revision that is known to exist.
+      revision: Revision of the newest active change; 0 for none.
+      known: Newest revision that is known to exist.
     """
 
     def __init__(self) -> None:
@@ -65,25 +66,26 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the newest revision known was ever in force here.
+        """Whether this daemon has ever had the newest known revision.
 
-        A daemon that starts and learns that a newer revision exists is not
-        ready until it has it: what it would serve by may have been replaced
-        long ago. One that was current and falls behind stays ready, as
-        taking every daemon of a cut zone out would stop that zone.
+        A starting daemon is not ready until it has the newest known revision,
+        as it would serve an outdated configuration. A daemon that was current
+        and falls behind stays ready: if every daemon of a partitioned zone
+        became unready, that zone would stop serving.
         """
         return self._was_current
 
     @property
     def is_behind(self) -> bool:
-        """Whether a revision is known that is not in force here."""
+        """Whether a newer revision than the active one is known to exist."""
         return self.revision < self.known
 
     def apply(self, changes: Iterable[Change]) -> None:
-        """Puts changes in force, each once and in order.
+        """Applies changes in order of revision, each once.
 
-        A change at or below the revision in force is old news: taking it
-        would make the configuration go back.
+        Changes that do not directly follow the active revision are ignored:
+        an older one would revert the configuration, and a gap would lose a
+        change.
         """
         for change in sorted(changes, key=lambda c: c.revision):
             if change.revision != self.revision + 1:
@@ -91,19 +93,19 @@
             self._set(change.path, change.resource)
             self.revision = change.revision
             self._recent.append(change)
-        self._wake()
+        self._notify_changed()
 
     def load(self, revision: int, resources: Iterable[Resource]) -> None:
-        """Replaces everything by a newer snapshot; an older one is ignored."""
+        """Replaces all resources by a newer snapshot; ignores an older one."""
         if revision <= self.revision:
             return
         self._resources = {r.path: r for r in resources}
         self._recent.clear()
         self.revision = revision
-        self._wake()
+        self._notify_changed()
 
     def note(self, revision: int) -> None:
-        """Takes note that a revision exists somewhere."""
+        """Records that a revision is known to exist."""
         self.known = max(self.known, revision)
 
     def list_after(self, revision: int) -> list[Change] | None:
@@ -123,7 +125,7 @@
         else:
             self._resources[path] = resource
 
-    def _wake(self) -> None:
+    def _notify_changed(self) -> None:
         self.known = max(self.known, self.revision)
         if self.revision and not self.is_behind:
             self._was_current = True
@@ -135,7 +137,11 @@
         await self._changed.wait()
 
     async def reach(self, revision: int, timeout: float) -> bool:
-        """Waits until a revision is in force; returns whether it is."""
+        """Waits until a revision is active, at most `timeout` seconds.
+
+        Returns:
+          Whether it is active.
+        """
         try:
             async with asyncio.timeout(timeout):
                 while self.revision < revision:
@@ -156,28 +162,28 @@
                 yield resource
 
     def get_service(self, team: str, name: str) -> ServiceSpec | None:
-        """Returns what a service declares, or None."""
+        """Returns the spec of a service, or None."""
         resource = self.get(Kind.SERVICE, team, name)
         if resource is None or not isinstance(resource.spec, ServiceSpec):
             return None
         return resource.spec
 
     def get_team(self, team: str) -> TeamSpec:
-        """Returns a team's share, or the default one."""
+        """Returns the spec of a team, or the default."""
         resource = self.get(Kind.TEAM, '', team)
         if resource is None or not isinstance(resource.spec, TeamSpec):
             return TeamSpec()
         return resource.spec
 
     def get_worker(self, name: str) -> WorkerSpec:
-        """Returns what operators set of a worker."""
+        """Returns the spec of a worker, or the default."""
         resource = self.get(Kind.WORKER, '', name)
         if resource is None or not isinstance(resource.spec, WorkerSpec):
             return WorkerSpec()
         return resource.spec
 
     def get_weights(self) -> ConfigurationSpec:
-        """Returns how this deployment weighs things."""
+        """Returns the cost weights and budgets, or the defaults."""
         resource = self.get(Kind.CONFIGURATION, '', DEFAULT_NAME)
         if resource is None or not isinstance(resource.spec, ConfigurationSpec):
             return ConfigurationSpec()
--- a/lentilmount/metrics.py
+++ b/lentilmount/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus's form, of which each team sees its own."""
+"""Metrics in Prometheus format, filtered by the teams a scraper may see."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
     *(0.005, 0.01, 0.02, 0.04, 0.06, 0.1),
     *(0.15, 0.25, 0.5, 1.0, 2.5, 5.0),
 )
-"""Upper bounds, among them the tail targets of both deployments."""
+"""Upper bounds in seconds; they include the tail latency targets of both
+deployments."""
 
 
 @attrs.frozen
 class Gauged:
-    """One value that is read when the metrics are asked for.
+    """One gauge value, read when the metrics are scraped.
 
     Attributes:
       name: Name of the metric.
-      value: Its value now.
-      labels: Labels; with a team, that team sees it.
+      value: Current value.
+      labels: Labels; a series with a team label is visible to that team.
     """
 
     name: str
@@ -52,32 +53,32 @@
 
 
 class Metrics:
-    """What one daemon counts."""
+    """The metrics of one daemon."""
 
     def __init__(self, read_gauges: Callable[[], Iterable[Gauged]]):
         self._read_gauges = read_gauges
-        own = Registry()
+        registry = Registry()
         self._requests = Counter(
             'lentilmount_requests_total',
             'Interactive requests answered, by HTTP status.',
-            registry=own,
+            registry=registry,
         )
         self._seconds = Histogram(
             'lentilmount_request_seconds',
             'Time from a whole request to its answer, in seconds.',
             buckets=list(SECONDS_BUCKETS),
-            registry=own,
+            registry=registry,
         )
         self._commands = Counter(
             'lentilmount_api_requests_total',
             'Requests to the resource API, by HTTP status.',
-            registry=own,
+            registry=registry,
         )
 
     def observe_call(
         self, team: str, service: str, status: int, seconds: float
     ) -> None:
-        """Counts an interactive request."""
+        """Counts an interactive request and records its duration in seconds."""
         labels = {TEAM_LABEL: team, 'service': service}
         self._requests.inc({**labels, 'status': str(status)})
         self._seconds.observe(labels, seconds)
@@ -89,23 +90,23 @@
     def render(
         self, sees: Callable[[str], bool], accepts: Sequence[str]
     ) -> tuple[bytes, dict[str, str]]:
-        """Builds the answer to a scrape.
+        """Builds the response to a scrape.
 
         Args:
-          sees: Tells whether a team's series are visible; series without
-            a team are those of team ''.
+          sees: Returns whether a team's series are visible; series without
+            a team label belong to team ''.
           accepts: Values of the Accept header.
 
         Returns:
-          The body, and HTTP headers.
+          The body and the HTTP headers.
         """
         shown = Registry()
-        own = (
+        collectors = (
             (self._requests, Counter),
             (self._seconds, Histogram),
             (self._commands, Counter),
         )
-        for collector, cls in own:
+        for collector, cls in collectors:
             _copy_visible(collector, cls, sees, shown)
         gauges = {
             name: Gauge(name, doc, registry=shown)
--- a/lentilmount/resources.py
+++ b/lentilmount/resources.py
@@ -1,4 +1,4 @@
-"""The resources that operators declare and follow."""
+"""The resource types of the API: their specs, phases and statuses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a resource or task is in its life."""
+    """Lifecycle phase of a resource or task."""
 
     ACCEPTED = 'accepted'
     PENDING = 'pending'
@@ -77,10 +77,10 @@
 
 @attrs.frozen
 class Demand:
-    """What a task takes of its worker.
+    """Resources that a task needs on its worker.
 
     Attributes:
-      cores: Processors, in whole or part.
+      cores: CPU cores, may be fractional.
       memory_mb: Memory in MiB.
       accelerators: Whole accelerators.
     """
@@ -90,16 +90,16 @@
     accelerators: int = _not_negative(0)
 
     def fits(self, free: Demand | Room) -> bool:
-        """Tells whether the demand fits in what is free."""
+        """Returns whether the demand fits in the free resources."""
         return _is_within(self, free)
 
 
 @attrs.frozen
 class Room:
-    """An amount of processors, memory and accelerators, which may be none.
+    """An amount of CPU, memory and accelerators; may be zero.
 
     Attributes:
-      cores: Processors, in whole or part.
+      cores: CPU cores, may be fractional.
       memory_mb: Memory in MiB.
       accelerators: Whole accelerators.
     """
@@ -125,7 +125,7 @@
         )
 
     def fits(self, free: Demand | Room) -> bool:
-        """Tells whether the amount fits in what is free."""
+        """Returns whether the amount fits in the free resources."""
         return _is_within(self, free)
 
 
@@ -139,11 +139,11 @@
 
 @attrs.frozen
 class Metadata:
-    """Names a resource.
+    """Identity and version of a resource.
 
     Attributes:
-      team: The team that owns it; '' for what belongs to the platform.
-      name: Unique for its kind and team.
+      team: Team that owns it; '' for resources of the platform.
+      name: Name, unique within its kind and team.
       revision: Version of the resource; 0 before it is accepted.
     """
 
@@ -157,14 +157,14 @@
     """A latency-critical service.
 
     Attributes:
-      demand: What each task takes.
-      replicas: Tasks to keep running, over all availability zones.
-      slots: Requests a task runs at once.
-      connections: Most connections to a task, over all entry hosts.
-      target_ms: Target of the 99th percentile, in milliseconds.
-      deadline_ms: Longest a request may take, in milliseconds.
+      demand: Resources that each task needs.
+      replicas: Number of tasks to keep running, over all availability zones.
+      slots: Requests that a task runs concurrently.
+      connections: Maximum connections to a task, over all entry hosts.
+      target_ms: Target of the 99th percentile latency, in milliseconds.
+      deadline_ms: Deadline of a request, in milliseconds.
       zones: Availability zones to spread over; all if empty.
-      payload: Given to the workers as it is.
+      payload: Passed to the workers unchanged.
     """
 
     demand: Demand
@@ -179,14 +179,15 @@
 
 @attrs.frozen
 class JobSpec:
-    """A batch job: one task that is to complete exactly once.
+    """A batch job: one task that must complete exactly once.
 
     Attributes:
-      demand: What the task is declared to take.
-      expected_seconds: Declared run time.
-      job_class: Jobs that behave alike; learning is per class.
-      urgency: Urgent jobs go ahead of batch.
-      payload: Given to the worker as it is.
+      demand: Declared resources of the task.
+      expected_seconds: Declared run time in seconds.
+      job_class: Name shared by jobs that behave alike; usage is learned per
+        class.
+      urgency: Urgent jobs have precedence over batch jobs.
+      payload: Passed to the worker unchanged.
       zone: Availability zone to run in; any if empty.
     """
 
@@ -199,19 +200,20 @@
 
 
 def _check_quota(_: object, __: object, quota: Room) -> None:
-    # What is left of a worker may be negative in between; a quota may not.
+    # A `Room` may be negative while free resources are computed; a quota may
+    # not.
     if min(quota.cores, quota.memory_mb, quota.accelerators) < 0:
         raise ValueError('must not be negative')
 
 
 @attrs.frozen
 class TeamSpec:
-    """A team's share.
+    """Quota, fair-share weight and request limit of a team.
 
     Attributes:
-      quota: Most that its batch tasks may hold at once.
-      weight: Its weight in the fair share.
-      requests_per_second: Limit of interactive requests; 0 for none.
+      quota: Maximum resources that its batch tasks may hold at once.
+      weight: Weight in the fair share.
+      requests_per_second: Limit of interactive requests; 0 for no limit.
     """
 
     quota: Room = attrs.field(
@@ -223,11 +225,11 @@
 
 @attrs.frozen
 class WorkerSpec:
-    """What operators may set of a worker.
+    """Settings of a worker that operators may change.
 
     Attributes:
-      cordoned: Give it no new work.
-      drain: Also move its work elsewhere.
+      cordoned: Whether the worker gets no new tasks.
+      drain: Whether its running tasks are also moved to other workers.
     """
 
     cordoned: bool = False
@@ -236,10 +238,10 @@
 
 @attrs.frozen
 class UpstreamSpec:
-    """What operators may set of an upstream.
+    """Settings of an upstream that operators may change.
 
     Attributes:
-      drain: Send it no new request.
+      drain: Whether the upstream gets no new requests.
     """
 
     drain: bool = False
@@ -247,15 +249,15 @@
 
 @attrs.frozen
 class ConfigurationSpec:
-    """How this deployment weighs things.
+    """Cost weights and budgets of this deployment.
 
     Attributes:
-      tail_weight: Weight of a service's tail latency.
-      eviction_weight: Weight of an eviction.
-      evictions_per_hour: Budget of evictions a slice may spend.
-      hedge_share: Most hedges as a share of recent requests.
-      retry_share: Most retries as a share of recent requests.
-      spill_ms: Queueing cost beyond which another zone is used.
+      tail_weight: Cost weight of a service's tail latency.
+      eviction_weight: Cost weight of an eviction.
+      evictions_per_hour: Maximum evictions per hour and slice.
+      hedge_share: Maximum hedges as a share of recent requests.
+      retry_share: Maximum retries as a share of recent requests.
+      spill_ms: Queueing cost in milliseconds above which another zone is used.
     """
 
     tail_weight: float = _not_negative(1.0)
@@ -287,7 +289,7 @@
 
 @attrs.frozen
 class Condition:
-    """One more thing that is so about a resource."""
+    """An additional fact about a resource, with an optional reason."""
 
     name: str
     reason: str = ''
@@ -295,16 +297,16 @@
 
 @attrs.frozen
 class Status:
-    """What the system says of a resource.
+    """Observed state of a resource.
 
     Attributes:
-      phase: Where it is in its life.
-      reason: Why, in a few words.
+      phase: Lifecycle phase.
+      reason: Human-readable reason for the phase.
       attempt: Number of the current or last attempt.
-      worker: Where it runs or ran.
-      evictions: How often it was evicted.
+      worker: Worker of the current or last attempt.
+      evictions: Number of evictions so far.
       output: Name of the committed output.
-      conditions: What else holds.
+      conditions: Additional facts.
     """
 
     phase: Phase = Phase.ACCEPTED
@@ -327,10 +329,10 @@
 
     @property
     def path(self) -> str:
-        """Names the resource as kind/team/name."""
+        """The path of the resource, kind/team/name."""
         return make_path(self.kind, self.metadata.team, self.metadata.name)
 
 
 def make_path(kind: Kind, team: str, name: str) -> str:
-    """Names a resource as kind/team/name."""
+    """Returns the path of a resource, kind/team/name."""
     return f'{kind.value}/{team}/{name}'
--- a/lentilmount/settings.py
+++ b/lentilmount/settings.py
@@ -1,4 +1,4 @@
-"""What a daemon is told before it starts."""
+"""The settings of a daemon and the checks of single fields."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class ListenSettings:
-    """Where the daemon listens: IP number and port; 0 lets the system choose.
+    """Listen addresses: IP number and port; port 0 picks a free port.
 
     Attributes:
       callers: Interactive requests.
@@ -70,14 +70,15 @@
 
 @attrs.frozen
 class TlsSettings:
-    """How a listener is secured.
+    """TLS settings of one listener.
 
     Attributes:
       certificate: PEM file of the certificate chain.
       key: PEM file of the certificate's key.
-      minimum_version: Least version of TLS, 1.2 or 1.3.
-      authority: PEM file of the authority that clients' certificates must
-        come from; without one, clients need no certificate. Peers need one.
+      minimum_version: Minimum version of TLS, 1.2 or 1.3.
+      authority: PEM file of the certificate authority that must have signed
+        clients' certificates; without one, clients need no certificate.
+        Required for the peers listener.
     """
 
     certificate: str
@@ -90,13 +91,13 @@
 
 @attrs.frozen
 class ListenerTlsSettings:
-    """TLS of each listener; null for none.
+    """TLS settings of each listener; None for plaintext.
 
     Attributes:
       callers: Interactive requests.
       operators: The resource API, health and readiness.
       metrics: Metrics.
-      peers: Other daemons; needs an authority, which checks both sides.
+      peers: Other daemons; requires an authority, for mutual TLS.
     """
 
     callers: TlsSettings | None = None
@@ -107,17 +108,17 @@
 
 @attrs.frozen
 class LimitSettings:
-    """What one client may take of an HTTP listener.
+    """Limits of an HTTP listener.
 
     Attributes:
       header_kb: Largest request header, in KiB.
       body_kb: Largest request body, in KiB.
-      connections: Most connections to one listener at once.
-      buffered_kb: Most that all bodies on one listener hold at once, in KiB.
-      idle_seconds: Longest time from one answer to the next whole header;
-        more than the balancer keeps an idle connection.
-      body_seconds: Longest time for a body to arrive.
-      watches: Most watches at once.
+      connections: Maximum concurrent connections to one listener.
+      buffered_kb: Maximum size of all buffered bodies on one listener, in KiB.
+      idle_seconds: Timeout in seconds from one response to the next complete
+        header; must exceed the idle timeout of the load balancer.
+      body_seconds: Timeout in seconds for receiving a body.
+      watches: Maximum concurrent watches.
     """
 
     header_kb: int = _count(16)
@@ -131,7 +132,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform is: scheme, IP number and port of each service.
+    """URLs of the platform's services: scheme, IP number and port.
 
     Attributes:
       table: The transactional table service.
@@ -146,13 +147,13 @@
 
 @attrs.frozen
 class AccessSettings:
-    """What one bearer token allows.
+    """Permissions of one bearer token.
 
     Attributes:
-      name: Who holds the token; for logs.
-      sha256: Hash of the token, in hexadecimal.
-      team: The team it is for; '*' for every team.
-      verbs: Any of call, read, write, admin.
+      name: Name of the token's holder, for logs.
+      sha256: SHA-256 hash of the token, in hexadecimal.
+      team: Team whose resources it may access; '*' for every team.
+      verbs: Allowed verbs, any of call, read, write, admin.
     """
 
     name: str
@@ -169,24 +170,26 @@
 
 @attrs.frozen
 class TimeSettings:
-    """Times, in seconds.
+    """Periods, timeouts and lease terms, all in seconds.
 
     Attributes:
-      heartbeat: Between two heartbeats to a peer.
-      silence: After which a silent peer counts as down.
-      poll: Between two looks at the table's newest revision.
-      host_list: Between two looks at the host list.
-      slice_lease: How long a slice is held without renewal.
-      task_lease: How long a task runs on without renewal.
-      task_promise: How long tasks are renewed while the table is out.
-      sync: Between two calls to a worker.
-      usage: Between two readings of a worker's measurements.
-      drain: Before a planned stop closes the listeners: the balancer's lag.
-      stop_limit: Most time that a planned stop takes in all.
-      settle: For how long another daemon has to be the better owner of a
-        slice before the slice goes to it.
-      forget: After which a silent peer is forgotten.
-      members: Between two looks at the rows of the daemons.
+      heartbeat: Period of heartbeats to a peer.
+      silence: Time without a heartbeat after which a peer counts as down.
+      poll: Period of reading the newest revision from the table.
+      host_list: Period of reading the host list.
+      slice_lease: Term of a slice lease; it expires without renewal.
+      task_lease: Term of a task lease; the task stops without renewal.
+      task_promise: Maximum time for which task leases are renewed while the
+        table is unavailable.
+      sync: Period of calls to a worker.
+      usage: Period of reading a worker's usage measurements.
+      drain: Delay before a graceful shutdown closes the listeners, so that
+        the load balancer notices first.
+      stop_limit: Timeout of a graceful shutdown in total.
+      settle: Time for which another daemon must be the preferred owner of a
+        slice before the slice moves to it.
+      forget: Time without a heartbeat after which a peer is removed.
+      members: Period of reading the rows of the member daemons.
     """
 
     heartbeat: float = _seconds(0.5)
@@ -207,24 +210,25 @@
 
 @attrs.frozen
 class Settings:
-    """Everything a daemon is told before it starts.
+    """All settings of a daemon.
 
     Attributes:
-      name: The daemon's name.
+      name: Name of the daemon.
       zone: Its availability zone.
       zones: Every availability zone of the deployment.
-      platform: Where the platform is.
-      listen: Where to listen.
-      peers: Addresses of peers to begin with; others are found.
-      tls: TLS of each listener.
+      platform: URLs of the platform's services.
+      listen: Listen addresses.
+      peers: Addresses of initial peers; others are discovered.
+      tls: TLS settings of each listener.
       allow_plaintext: Whether a listener without TLS may be reached from
         other hosts; otherwise it must be on a loopback address.
-      limits: What one client may take.
-      access: Who may do what; empty means that nobody is let in.
-      times: Times.
-      slices_per_zone: Shares into which a zone's workers are split.
-      zone_links: Streams of heartbeats that join two availability zones.
-      entry_hosts: Most entry hosts at once, replacements included.
+      limits: Limits of the HTTP listeners.
+      access: Bearer tokens and their permissions; if empty, every request
+        that needs a token is refused.
+      times: Periods, timeouts and lease terms.
+      slices_per_zone: Number of slices into which a zone's workers are split.
+      zone_links: Number of heartbeat streams between two availability zones.
+      entry_hosts: Maximum number of entry hosts, replacements included.
       log_format: text or json.
       log_level: debug, info, warning or error.
     """
--- a/lentilmount/settingsfile.py
+++ b/lentilmount/settingsfile.py
@@ -1,4 +1,4 @@
-"""The daemon's settings file: JSON with comments, checked whole before use."""
+"""Reads settings files (JSON with comments); reports every invalid field."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     ('task_lease', 'task_promise'),
     ('drain', 'stop_limit'),
 )
-"""Pairs of times of which the first must be shorter than the second."""
+"""Pairs of fields of `TimeSettings`: the first must be below the second."""
 
 
 def read_settings(path: str) -> Settings:
     """Reads and checks a settings file.
 
     Raises:
-      SettingsError: With every wrong field.
+      SettingsError: The file is invalid; lists every invalid field.
     """
     try:
         text = pathlib.Path(path).read_text('utf-8')
@@ -43,7 +43,7 @@
 
 
 def parse_settings(text: str, path: str = 'settings') -> Settings:
-    """Checks the text of a settings file; see `read_settings`."""
+    """Parses and checks the text of a settings file; see `read_settings`."""
     value = _parse(text, path)
     problems: list[FieldProblem] = []
     try:
@@ -87,8 +87,8 @@
     return SettingsError(f'{path}:\n{shown}', fields=tuple(fields))
 
 
-# What concerns several fields is checked on the plain values, so that it is
-# told together with single fields that are wrong.
+# Rules over several fields are checked on the plain values, so that they are
+# reported together with invalid single fields.
 
 
 def _check_zone(value: dict[str, Any]) -> list[FieldProblem]:
@@ -131,7 +131,7 @@
     try:
         return ipaddress.ip_address(host.strip('[]')).is_loopback
     except ValueError:
-        # No IP number at all is told by the field's own check.
+        # The check of the single field reports an invalid IP number.
         return True
 
 
@@ -157,14 +157,14 @@
 
 def _check_bodies(value: dict[str, Any]) -> list[FieldProblem]:
     given = {**attrs.asdict(LimitSettings()), **_get_object(value, 'limits')}
-    largest, all_held = given['body_kb'], given['buffered_kb']
-    numbers = isinstance(largest, int) and isinstance(all_held, int)
-    if not numbers or largest <= all_held:
+    max_body, max_buffered = given['body_kb'], given['buffered_kb']
+    numbers = isinstance(max_body, int) and isinstance(max_buffered, int)
+    if not numbers or max_body <= max_buffered:
         return []
     return [
         FieldProblem(
             'limits.body_kb',
-            f'is {largest}, more than limits.buffered_kb, {all_held}',
+            f'is {max_body}, more than limits.buffered_kb, {max_buffered}',
             'no body of that size could ever be taken',
         )
     ]
--- a/lentilmount/slices.py
+++ b/lentilmount/slices.py
@@ -1,7 +1,7 @@
-"""How workers, services and jobs are spread over slices.
+"""Assigns workers, service replicas and jobs to slices.
 
-A slice is a share of one availability zone's workers, named zone/number. One
-daemon at a time owns it, by lease.
+A slice is a subset of the workers of one availability zone, named zone/number.
+At most one daemon at a time owns it, under a lease.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 
 def hash_text(text: str) -> int:
-    """Hashes a text to 64 bits, the same in every process."""
+    """Hashes a string to 64 bits, identically in every process."""
     digest: int = xxhash.xxh64_intdigest(text.encode())
     return digest
 
 
 def list_slices(zones: Iterable[str], per_zone: int) -> list[str]:
-    """Names every slice."""
+    """Returns the names of all slices."""
     return [f'{zone}/{n}' for zone in sorted(zones) for n in range(per_zone)]
 
 
@@ -51,22 +51,23 @@
 
 
 def assign_evenly(keys: Iterable[str], names: Iterable[str]) -> dict[str, str]:
-    """Gives each key to a name, none more than one above an even share.
+    """Assigns each key to a name; no name gets more than its even share.
 
-    Each key goes to its best name by rendezvous hash that still has room, so
-    most keys stay where they are when a name comes or goes.
+    The even share is rounded up. Each key goes to its best name by rendezvous
+    hash that is still below that, so most keys keep their name when a name is
+    added or removed.
 
     Source: Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with
     Bounded Loads", 2016, over rendezvous hashing.
     """
     keys, names = sorted(keys, key=hash_text), list(names)
-    most = -(-len(keys) // len(names)) if names else 0
-    held = dict.fromkeys(names, 0)
+    capacity = -(-len(keys) // len(names)) if names else 0
+    counts = dict.fromkeys(names, 0)
     assigned = {}
     for key in keys:
         for name in rank_by_hash(key, names):
-            if held[name] < most:
-                held[name] += 1
+            if counts[name] < capacity:
+                counts[name] += 1
                 assigned[key] = name
                 break
     return assigned
--- a/lentilmount/tls.py
+++ b/lentilmount/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings."""
+"""Builds TLS contexts from settings."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 def make_server_context(
     tls: TlsSettings, where: str, *, http2: bool = False
 ) -> ssl.SSLContext:
-    """Builds what a listener presents, and asks of its clients.
+    """Builds the TLS context of a listener.
 
     Args:
-      tls: Certificate, key and least version; with an authority, a client
-        without a certificate of that authority is not let in.
-      where: The settings' field, for messages.
+      tls: Certificate, key and minimum version; with an authority, clients
+        must present a certificate that it has signed.
+      where: Path of the settings field, for error messages.
       http2: Whether the listener speaks HTTP/2, as gRPC does.
 
     Raises:
@@ -38,7 +38,7 @@
 
 
 def make_peer_context(tls: TlsSettings, where: str) -> ssl.SSLContext:
-    """Builds what a daemon presents to its peers, and asks of them.
+    """Builds the TLS context for connections to peers.
 
     Raises:
       SettingsError: A file cannot be used.
@@ -50,7 +50,7 @@
 
 
 def reload_certificate(context: ssl.SSLContext, tls: TlsSettings) -> None:
-    """Takes a renewed certificate for the connections to come.
+    """Loads a renewed certificate; it applies to new connections.
 
     Raises:
       SettingsError: A file cannot be used.
