--- a/lentilmount/__main__.py
+++ b/lentilmount/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Runs the tool with the process's own arguments."""
+    """Runs the tool with the command-line arguments of the process."""
     return core.main(sys.argv[1:])
 
 
--- a/lentilmount/commands/__init__.py
+++ b/lentilmount/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that changes a resource."""
+"""Commands: operations that change resources."""
--- a/lentilmount/commands/checks.py
+++ b/lentilmount/commands/checks.py
@@ -1,4 +1,4 @@
-"""What is checked of a resource beyond its own fields."""
+"""Checks a resource against the deployment, beyond its single fields."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from lentilmount.resources import JobSpec, Kind, Resource, ServiceSpec
 
 PLATFORM_KINDS = frozenset({Kind.WORKER, Kind.TEAM, Kind.CONFIGURATION})
-"""Kinds that belong to the platform, not to a team."""
+"""Kinds of resource that belong to the platform, not to a team."""
 
 
 def check_resource(resource: Resource, zones: Iterable[str]) -> None:
-    """Checks a resource before it is accepted, and for a dry run.
+    """Checks the owner and zones of a resource, also for a dry run.
 
     Raises:
-      InvalidError: With every wrong field.
+      InvalidError: The resource is invalid; lists every invalid field.
     """
     known = sorted(set(zones))
     problems = [*_check_owner(resource), *_check_zones(resource, known)]
@@ -42,17 +42,17 @@
 
 def _check_zones(resource: Resource, known: list[str]) -> list[FieldProblem]:
     spec = resource.spec
-    asked: list[tuple[str, str]] = []
+    requested: list[tuple[str, str]] = []
     if isinstance(spec, ServiceSpec):
-        asked = [(f'spec.zones[{n}]', z) for n, z in enumerate(spec.zones)]
+        requested = [(f'spec.zones[{n}]', z) for n, z in enumerate(spec.zones)]
     elif isinstance(spec, JobSpec) and spec.zone:
-        asked = [('spec.zone', spec.zone)]
+        requested = [('spec.zone', spec.zone)]
     return [
         FieldProblem(
             field,
             f'there is no availability zone {zone}',
             f'use one of {", ".join(known)}',
         )
-        for field, zone in asked
+        for field, zone in requested
         if zone not in known
     ]
--- a/lentilmount/commands/configure.py
+++ b/lentilmount/commands/configure.py
@@ -1,4 +1,4 @@
-"""Accepting a change of the configuration: one transaction, one revision."""
+"""Commits configuration changes, each as one transaction and revision."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 from lentilmount.coordination.transactions import commit
 from lentilmount.errors import (
-    ConflictError as RaceError,
+    ConflictError as ResourceConflictError,
 )
 from lentilmount.errors import InvalidError, NotFoundError, StoreError
 from lentilmount.resources import Resource
@@ -37,24 +37,25 @@
     make_resource_key,
 )
 
-RACE_SECONDS = 5.0
-"""How long a command yields to others that change other resources."""
+CONFLICT_RETRY_SECONDS = 5.0
+"""Time in seconds for which a command is retried after conflicts with changes
+of other resources."""
 
-LONGEST_RACE_PAUSE_SECONDS = 0.2
+MAX_RETRY_PAUSE_SECONDS = 0.2
 RETRY_AFTER_SECONDS = 2.0
 
 LOG_KEPT = 1000
-"""Entries of the change log that are kept; who needs older ones takes a
-snapshot. At 1,900 changes a day this is half a day."""
+"""Number of change log entries that are kept; readers further behind load a
+snapshot. At 1,900 changes a day this covers half a day."""
 
 
 @attrs.frozen
 class Accepted:
-    """The answer to a command.
+    """The result of a command.
 
     Attributes:
-      revision: The configuration's revision that carries it.
-      changed: Whether there was anything to change.
+      revision: Revision of the configuration that includes the change.
+      changed: Whether the command changed the configuration.
       resource: The resource as accepted; None if deleted.
     """
 
@@ -64,7 +65,7 @@
 
 
 class Configurer:
-    """Carries out commands on what takes part in the configuration."""
+    """Applies and deletes resources of the configuration."""
 
     def __init__(self, table: Table):
         self._table = table
@@ -74,26 +75,27 @@
         """Creates or changes a resource.
 
         Args:
-          resource: What is wanted; `metadata.revision` is the one that the
-            operator saw, 0 for a resource that is new.
-          request_id: Names the command, so that a retry is not a second one.
+          resource: The desired resource; `metadata.revision` is the revision
+            that the operator has read, 0 for a new resource.
+          request_id: Idempotency key: a retry with the same id returns the
+            first result.
 
         Raises:
-          ConflictError: The resource is not at the revision given.
+          ConflictError: The resource is not at the given revision.
           InvalidError: The id was used for another command.
-          StoreError: Not known whether it was accepted; retry with the id.
+          StoreError: The outcome is unknown; retry with the same id.
         """
         return await self._accept(resource.path, resource, request_id)
 
     async def preview(self, resource: Resource) -> Resource | None:
-        """Checks a resource as `apply` does, and writes nothing.
+        """Checks a resource as `apply` does, without writing.
 
         Returns:
-          The resource as it is now, or None where it would be new.
+          The current resource, or None if it does not exist.
 
         Raises:
-          ConflictError: The resource is not at the revision given.
-          StoreError: The table does not answer.
+          ConflictError: The resource is not at the given revision.
+          StoreError: The table service is unavailable.
         """
         key = make_resource_key(resource.path)
         try:
@@ -125,21 +127,21 @@
         revision: int = 0,
     ) -> Accepted:
         digest = _make_digest(path, resource, revision)
-        until = time.monotonic() + RACE_SECONDS
+        deadline = time.monotonic() + CONFLICT_RETRY_SECONDS
         pause = 0.005
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             try:
-                # Every change raises the one counter, so two at once in one
-                # daemon would only make each other fail.
+                # Every change increments the same revision row, so concurrent
+                # commands of one daemon would conflict with each other.
                 async with self._lock:
                     return await self._try_accept(
                         path, resource, request_id, revision, digest
                     )
             except ConflictError:
-                # Somebody changed something between our read and our write;
-                # the next read tells whether it was this resource.
+                # The configuration changed between the read and the write; the
+                # next read shows whether this resource was changed.
                 await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-                pause = min(2 * pause, LONGEST_RACE_PAUSE_SECONDS)
+                pause = min(2 * pause, MAX_RETRY_PAUSE_SECONDS)
             except UnavailableError as error:
                 raise StoreError(
                     'the table service does not answer; send the command '
@@ -163,7 +165,7 @@
         request_key = make_request_key(request_id)
         rows = await self._table.read([REVISION_KEY, key, request_key])
         if request_key in rows:
-            return _read_answer(rows[request_key], digest)
+            return _read_stored_result(rows[request_key], digest)
         counter = rows.get(REVISION_KEY)
         newest = counter.version if counter else ABSENT
         row = rows.get(key)
@@ -188,9 +190,13 @@
         digest: str,
     ) -> Accepted:
         key = make_resource_key(path)
-        accepted = Accepted(newest + 1, True, _stamp(resource, newest + 1))
-        stamped = accepted.resource
-        plain = encode_resource(stamped) if stamped else None
+        accepted = Accepted(
+            newest + 1, True, _set_revision(resource, newest + 1)
+        )
+        accepted_resource = accepted.resource
+        plain = (
+            encode_resource(accepted_resource) if accepted_resource else None
+        )
         operations: list[Operation] = [
             Put(REVISION_KEY, {}, newest),
             Put(
@@ -223,20 +229,20 @@
 
 
 def _make_digest(path: str, resource: Resource | None, revision: int) -> str:
-    """Hashes a command, to tell another one with the same request id."""
+    """Hashes a command, to detect another one with the same request id."""
     body: Any = encode(resource) if resource else b''
     text = f'{path}\0{revision}\0'.encode() + body
     return hashlib.sha256(text).hexdigest()
 
 
-def _stamp(resource: Resource | None, revision: int) -> Resource | None:
+def _set_revision(resource: Resource | None, revision: int) -> Resource | None:
     if resource is None:
         return None
     metadata = attrs.evolve(resource.metadata, revision=revision)
     return attrs.evolve(resource, metadata=metadata)
 
 
-def _read_answer(row: Row, digest: str) -> Accepted:
+def _read_stored_result(row: Row, digest: str) -> Accepted:
     if row.body.get('digest', digest) != digest:
         raise InvalidError(
             f'request id {row.key.sort} was used for another command; '
@@ -254,7 +260,7 @@
         if resource is None:
             raise NotFoundError(f'there is no {path}')
         if given:
-            raise RaceError(
+            raise ResourceConflictError(
                 f'{path} does not exist, but revision {given} was given; '
                 f'leave metadata.revision out to create it',
                 extra={'given_revision': given, 'current_revision': 0},
@@ -262,7 +268,7 @@
         return
     current = structure_resource(row.body).metadata.revision
     if given != current:
-        raise RaceError(
+        raise ResourceConflictError(
             f'{path} is at revision {current}, not {given}; read it again '
             f'and send metadata.revision {current}',
             extra={'given_revision': given, 'current_revision': current},
--- a/lentilmount/commands/jobs.py
+++ b/lentilmount/commands/jobs.py
@@ -1,4 +1,4 @@
-"""Submitting and cancelling jobs: a request in a slice's inbox."""
+"""Submits, cancels and deletes jobs by requests in the inbox of a slice."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     UnavailableError,
 )
 from lentilmount.coordination.transactions import commit, make_token
-from lentilmount.errors import ConflictError as RaceError
+from lentilmount.errors import ConflictError as ResourceConflictError
 from lentilmount.errors import (
     FieldProblem,
     InvalidError,
@@ -40,16 +40,16 @@
 RETRY_AFTER_SECONDS = 2.0
 
 JOB_REVISION = 1
-"""The only revision of a job: its spec never changes."""
+"""Revision of every job: the spec of a job never changes."""
 
-# An inbox is read in the order of its keys. A cancellation is accepted only
-# after its job, and sorts behind every job, so it never comes first.
+# An inbox is read in key order. A cancellation is accepted only after its job
+# and sorts after all jobs, so it is never read before its job.
 _URGENT, _BATCH, _CANCEL = '0', '1', '2'
 
 
 @attrs.frozen
 class Submitted:
-    """The answer to a command on a job: the slice whose owner carries on."""
+    """The result of a command on a job, with the slice that runs the job."""
 
     slice_name: str
     resource: Resource
@@ -57,7 +57,7 @@
 
 
 class JobDesk:
-    """Accepts jobs and cancellations."""
+    """Accepts submissions, cancellations and deletions of jobs."""
 
     def __init__(self, table: Table, slices: tuple[str, ...]):
         self._table = table
@@ -65,12 +65,13 @@
         self._shapes = WorkerShapes(table, slices, time.monotonic)
 
     async def submit(self, resource: Resource) -> Submitted:
-        """Accepts a job; the same job again changes nothing.
+        """Accepts a job; idempotent if the same job is submitted again.
 
         Raises:
-          ConflictError: There is another job of that name, or was one.
-          InvalidError: No slice is in the zone that it asks for.
-          StoreError: Not known whether it was accepted; send it again.
+          ConflictError: A job with that name but another spec exists, or the
+            name belonged to a deleted job.
+          InvalidError: The requested zone has no slice.
+          StoreError: The outcome is unknown; submit the job again.
         """
         spec = resource.spec
         assert isinstance(spec, JobSpec)
@@ -82,35 +83,35 @@
         key = make_job_key(metadata.team, metadata.name)
         task = _make_task(resource, spec)
         body = {'resource': encode_resource(resource), 'slice': slice_name}
-        order = _URGENT if spec.urgency is Urgency.URGENT else _BATCH
+        rank = _URGENT if spec.urgency is Urgency.URGENT else _BATCH
         request = make_request_put(
             slice_name,
-            _make_order(order),
+            _make_inbox_key(rank),
             Request(RequestKind.SUBMIT, task.id, task),
         )
         try:
             await commit(self._table, [Put(key, body), request], key)
         except ConflictError:
-            return await self._find_twin(resource)
+            return await self._find_existing(resource)
         except UnavailableError as error:
             raise _make_store_error() from error
         return Submitted(slice_name, resource, True)
 
     async def preview(self, resource: Resource) -> Resource | None:
-        """Checks a job as `submit` does, and writes nothing.
+        """Checks a job as `submit` does, without writing.
 
         Returns:
-          The job as it is now, or None where it would be new.
+          The current job, or None if it does not exist.
 
         Raises:
-          LentilmountError: As `submit` raises.
+          LentilmountError: The errors that `submit` raises.
         """
         spec = resource.spec
         assert isinstance(spec, JobSpec)
         self._choose_slice(resource, spec)
         _check_revision(resource)
         try:
-            return (await self._find_twin(resource)).resource
+            return (await self._find_existing(resource)).resource
         except NotFoundError:
             return None
 
@@ -132,21 +133,21 @@
                     ),
                 ),
             )
-        able = self._shapes.select(spec.demand, slices)
-        return rank_by_hash(resource.path, able)[0]
+        suitable = self._shapes.select(spec.demand, slices)
+        return rank_by_hash(resource.path, suitable)[0]
 
-    async def _find_twin(self, resource: Resource) -> Submitted:
+    async def _find_existing(self, resource: Resource) -> Submitted:
         metadata = resource.metadata
         row = await self._find(metadata.team, metadata.name)
         if is_deleted(row):
-            raise RaceError(
+            raise ResourceConflictError(
                 f'{resource.path} was deleted, and the names of jobs are not '
                 f'used again; give the new one another name',
                 extra={'given_revision': metadata.revision},
             )
-        twin = structure_resource(row.body['resource'])
-        if twin.spec != resource.spec:
-            raise RaceError(
+        existing = structure_resource(row.body['resource'])
+        if existing.spec != resource.spec:
+            raise ResourceConflictError(
                 f'{resource.path} exists with another spec; a job cannot be '
                 f'changed: give the new one another name',
                 extra={
@@ -154,14 +155,14 @@
                     'current_revision': JOB_REVISION,
                 },
             )
-        return Submitted(row.body['slice'], twin, False)
+        return Submitted(row.body['slice'], existing, False)
 
     async def cancel(self, team: str, name: str) -> Submitted:
-        """Accepts a cancellation; of a job that is over it changes nothing.
+        """Accepts a cancellation; has no effect on a finished job.
 
         Raises:
           NotFoundError: There is no such job.
-          StoreError: Not known whether it was accepted; send it again.
+          StoreError: The outcome is unknown; cancel the job again.
         """
         row = await self._read(team, name)
         resource = structure_resource(row.body['resource'])
@@ -169,7 +170,7 @@
             return Submitted(row.body['slice'], resource, False)
         request = make_request_put(
             row.body['slice'],
-            _make_order(_CANCEL),
+            _make_inbox_key(_CANCEL),
             Request(RequestKind.CANCEL, make_task_id(team, name)),
         )
         try:
@@ -179,25 +180,27 @@
         return Submitted(row.body['slice'], resource, True)
 
     async def delete(self, team: str, name: str) -> Submitted:
-        """Deletes a job that is over.
+        """Deletes a finished job.
 
-        The row stays, without the spec, and keeps the name: a new job of the
-        same name would have the same task id, and what a worker still says
-        of the old one's attempts could be taken for the new one's.
+        The row stays as a tombstone without the spec, which reserves the name:
+        a new job of the same name would have the same task id, and late worker
+        reports about the old attempts could be attributed to it.
 
         Raises:
           NotFoundError: There is no such job.
-          ConflictError: It is not over.
-          StoreError: Not known whether it was deleted; send it again.
+          ConflictError: The job is not finished.
+          StoreError: The outcome is unknown; delete the job again.
         """
         row = await self._read(team, name)
         done = await self._find_done(row, team, name)
         if done is None:
-            raise RaceError(f'the job {team}/{name} is not over; cancel it')
+            raise ResourceConflictError(
+                f'the job {team}/{name} is not over; cancel it'
+            )
         slice_name = row.body['slice']
-        stone = make_stone(slice_name)
+        tombstone = make_stone(slice_name)
         operations: list[Operation] = [
-            Put(row.key, stone, row.version),
+            Put(row.key, tombstone, row.version),
             Delete(done.key, done.version),
         ]
         try:
@@ -236,7 +239,7 @@
 def _check_revision(resource: Resource) -> None:
     given = resource.metadata.revision
     if given not in (0, JOB_REVISION):
-        raise RaceError(
+        raise ResourceConflictError(
             f'{resource.path} can only be at revision {JOB_REVISION}, not '
             f'{given}: a job cannot be changed',
             extra={'given_revision': given, 'current_revision': JOB_REVISION},
@@ -256,7 +259,7 @@
     )
 
 
-def _make_order(rank: str) -> str:
+def _make_inbox_key(rank: str) -> str:
     return f'{rank}-{int(time.time() * 1000):013d}-{make_token()}'
 
 
--- a/lentilmount/context.py
+++ b/lentilmount/context.py
@@ -1,4 +1,4 @@
-"""What a program is given by its surroundings, so that tests can give it."""
+"""The environment of a program run, which tests can replace."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @attrs.define
 class Environment:
-    """Streams, variables and terminal facts of one run of a program.
+    """Standard streams and environment variables of one program run.
 
     Attributes:
-      stdin: Where input is read.
-      stdout: Where results go.
-      stderr: Where errors and progress go.
+      stdin: Stream for input.
+      stdout: Stream for results.
+      stderr: Stream for errors and progress.
       variables: Environment variables.
     """
 
@@ -28,7 +28,7 @@
 
     @property
     def is_terminal(self) -> bool:
-        """Whether a person reads the output."""
+        """Whether stdout is a terminal."""
         return self.stdout.isatty()
 
     @property
--- a/lentilmount/core.py
+++ b/lentilmount/core.py
@@ -1,4 +1,4 @@
-"""The command-line tool, from arguments to an exit status."""
+"""Entry point of the command-line tool: parses arguments, runs a command."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """Runs one command.
 
     Args:
-      args: The arguments, without the program's name.
-      env: Where input and output go.
+      args: Command-line arguments, without the program name.
+      env: Standard streams and variables; by default those of the process.
 
     Returns:
-      The status that the process ends with.
+      The exit status of the process.
     """
     env = env or Environment()
     try:
@@ -31,16 +31,16 @@
     except SystemExit as end:
         return ExitStatus(int(end.code or 0))
     except LentilmountError as error:
-        _tell(error, env)
+        _print_error(error, env)
         return error.answer.exit_status
     except BrokenPipeError:
-        # Whoever read the output, such as head, has seen enough.
+        # The reader of the output, such as head, closed the pipe.
         return ExitStatus.OK
     except KeyboardInterrupt:
         return ExitStatus.INTERRUPTED
 
 
-def _tell(error: LentilmountError, env: Environment) -> None:
+def _print_error(error: LentilmountError, env: Environment) -> None:
     detail = error.answer.title if error.fields else error.detail
     print(f'lentilmount: {detail}', file=env.stderr)
     for field in error.fields:
--- a/lentilmount/queries/__init__.py
+++ b/lentilmount/queries/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that reads."""
+"""Queries: operations that read resources, events and changes."""
--- a/lentilmount/queries/difference.py
+++ b/lentilmount/queries/difference.py
@@ -1,4 +1,4 @@
-"""What an apply would change, field by field."""
+"""Compares the spec of a resource with the one that an apply would set."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class FieldChange:
-    """One field that differs; None on the side that lacks it."""
+    """A changed field; the value is None on the side where it is absent."""
 
     field: str
     current: Any
--- a/lentilmount/queries/feed.py
+++ b/lentilmount/queries/feed.py
@@ -1,7 +1,7 @@
-"""Entries of the change logs, and cursors that name places in them.
+"""Reads change logs; encodes cursors, which hold a position in each log.
 
 The configuration and each slice have a change log in the table, whose entries
-are numbered without gaps: a missing number tells that entries were pruned.
+are numbered without gaps: a missing number means that entries were pruned.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 )
 
 PAGE = 200
-RING = 512
-"""Entries of each log that are kept, so that watchers seldom read the table."""
+CACHE_SIZE = 512
+"""Entries of each log that are cached, to save watchers reads of the table."""
 
 
 @attrs.frozen
-class Place:
-    """A place in a change log.
+class LogPosition:
+    """A position in a change log.
 
     Attributes:
-      number: Number of the last entry that was told whole.
-      taken: Changes of the next entry that were told already; an entry
+      number: Number of the last entry that was delivered completely.
+      taken: Number of changes of the next entry that were delivered; an entry
         holds the changes of one transaction.
     """
 
@@ -43,22 +43,22 @@
     taken: int = 0
 
 
-Positions = dict[str, Place]
-"""How far each log was told."""
+Positions = dict[str, LogPosition]
+"""Position in each change log, by name of the log."""
 
 
-def encode_cursor(positions: Mapping[str, Place]) -> str:
-    """Builds a cursor; callers are not to look into it."""
+def encode_cursor(positions: Mapping[str, LogPosition]) -> str:
+    """Encodes positions as a cursor, which is opaque to callers."""
     pairs = {log: [p.number, p.taken] for log, p in sorted(positions.items())}
     plain = json.dumps(pairs, separators=(',', ':'))
     return base64.urlsafe_b64encode(plain.encode()).decode().rstrip('=')
 
 
 def decode_cursor(cursor: str) -> Positions:
-    """Reads a cursor.
+    """Decodes a cursor.
 
     Raises:
-      InvalidError: It is none of ours.
+      InvalidError: The cursor is malformed.
     """
     padded = cursor + '=' * (-len(cursor) % 4)
     try:
@@ -70,32 +70,36 @@
         )
     if any(number < 0 or taken < 0 for number, taken in pairs.values()):
         raise make_cursor_error('is not one that a list or watch gave')
-    return {log: Place(*pair) for log, pair in pairs.items()}
+    return {log: LogPosition(*pair) for log, pair in pairs.items()}
 
 
 def make_cursor_error(problem: str) -> InvalidError:
-    """Builds the error of a cursor that cannot be used."""
+    """Builds the error for an unusable cursor."""
     field = FieldProblem('cursor', problem, 'list again and watch from there')
     return InvalidError(str(field), fields=(field,))
 
 
-class Feed:
-    """Entries of the change logs, read once for all watchers."""
+class ChangeLogReader:
+    """Reads change logs through a cache that all watchers share."""
 
     def __init__(self, table: Table):
         self._table = table
-        self._rings: dict[str, collections.deque[Row]] = {}
+        self._cached: dict[str, collections.deque[Row]] = {}
 
     async def read(self, log: str, after: int) -> list[Row]:
-        """Returns some entries that follow a position, without a gap.
+        """Returns the next entries after a number, at least one, without a gap.
 
         Raises:
-          LentilmountError: Of kind GONE; the next entry is no longer kept.
-          UnavailableError: The table does not answer.
+          LentilmountError: Of kind GONE; the next entry was pruned.
+          UnavailableError: The table service is unavailable.
         """
-        ring = self._rings.setdefault(log, collections.deque(maxlen=RING))
-        if ring and get_number(ring[0]) <= after + 1 <= get_number(ring[-1]):
-            return [row for row in ring if get_number(row) > after]
+        cached = self._cached.setdefault(
+            log, collections.deque(maxlen=CACHE_SIZE)
+        )
+        if cached and get_number(cached[0]) <= after + 1 <= get_number(
+            cached[-1]
+        ):
+            return [row for row in cached if get_number(row) > after]
         start = make_change_key(log, after)
         rows = await self._table.scan(start.partition, start.sort, PAGE)
         if not rows or get_number(rows[0]) != after + 1:
@@ -104,16 +108,16 @@
                 f'again and watch from there',
                 kind=ErrorKind.GONE,
             )
-        self._keep(ring, rows)
+        self._cache(cached, rows)
         return rows
 
-    def _keep(self, ring: collections.deque[Row], rows: list[Row]) -> None:
-        newest = get_number(ring[-1]) if ring else 0
+    def _cache(self, cached: collections.deque[Row], rows: list[Row]) -> None:
+        newest = get_number(cached[-1]) if cached else 0
         if newest + 1 < get_number(rows[0]):
-            ring.clear()
-        ring.extend(row for row in rows if get_number(row) > newest)
+            cached.clear()
+        cached.extend(row for row in rows if get_number(row) > newest)
 
 
 def get_number(row: Row) -> int:
-    """Returns the number of a change log's entry."""
+    """Returns the number of a change log entry."""
     return int(row.key.sort)
--- a/lentilmount/queries/jobs.py
+++ b/lentilmount/queries/jobs.py
@@ -1,4 +1,4 @@
-"""Reading jobs: what was accepted, and how far the slice has come."""
+"""Reads jobs: the accepted job, with the status that its slice recorded."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from lentilmount.batch.records import Task, make_done_key, make_task_key
 from lentilmount.codec import structure, structure_resource
 from lentilmount.coordination.table import Row, Table
-from lentilmount.queries.pages import ListFilter, Page, make_place
+from lentilmount.queries.pages import ListFilter, Page, make_sort_key
 from lentilmount.queries.statuses import make_status
 from lentilmount.resources import Resource
 from lentilmount.rows import is_deleted, make_job_key, make_task_id
 
 READ_AT_ONCE = 50
-"""Jobs whose status is read in one call: two rows each, of at most 100."""
+"""Jobs per status read: two rows each, and a read is limited to 100 rows."""
 
 
 class JobReader:
@@ -30,14 +30,14 @@
         return jobs[0] if jobs else None
 
     async def list_page(
-        self, wanted: ListFilter, teams: list[str], most: int
+        self, wanted: ListFilter, teams: list[str], max_rows: int
     ) -> Page:
         """Returns a page of jobs.
 
         Args:
-          wanted: Which jobs.
-          teams: Whose jobs.
-          most: Most rows to read before the page ends early.
+          wanted: Filter and page limit.
+          teams: Teams whose jobs are listed.
+          max_rows: Maximum rows to read before the page ends early.
         """
         items: list[Resource] = []
         first, _, after = wanted.after.partition('/')
@@ -45,24 +45,24 @@
         for team in sorted(teams):
             if team < first:
                 continue
-            place = after if team == first else ''
-            place = max(place, _come_before(wanted.name))
+            last_key = after if team == first else ''
+            last_key = max(last_key, _make_preceding_key(wanted.name))
             while True:
                 rows = await self._table.scan(
-                    f'job/{team}', place, READ_AT_ONCE
+                    f'job/{team}', last_key, READ_AT_ONCE
                 )
                 read += len(rows)
                 for job in await self._add_status(rows):
                     if not wanted.accepts(job):
                         continue
                     if len(items) == wanted.limit:
-                        return Page(tuple(items), make_place(items[-1]))
+                        return Page(tuple(items), make_sort_key(items[-1]))
                     items.append(job)
                 if len(rows) < READ_AT_ONCE or _is_past(rows, wanted.name):
                     break
-                place = rows[-1].key.sort
-                if read >= most:
-                    return Page(tuple(items), f'{team}/{place}')
+                last_key = rows[-1].key.sort
+                if read >= max_rows:
+                    return Page(tuple(items), f'{team}/{last_key}')
         return Page(tuple(items))
 
     async def _add_status(self, rows: list[Row]) -> list[Resource]:
@@ -74,9 +74,12 @@
         for row, resource in zip(kept, resources, strict=True):
             metadata = resource.metadata
             task_id = make_task_id(metadata.team, metadata.name)
-            where = row.body['slice']
+            slice_name = row.body['slice']
             keys.append(
-                (make_task_key(where, task_id), make_done_key(where, task_id))
+                (
+                    make_task_key(slice_name, task_id),
+                    make_done_key(slice_name, task_id),
+                )
             )
         found = await self._table.read([k for pair in keys for k in pair])
         return [
@@ -85,10 +88,10 @@
         ]
 
 
-def _come_before(prefix: str) -> str:
-    """Returns a text that sorts just before all names with a prefix.
+def _make_preceding_key(prefix: str) -> str:
+    """Returns a key that sorts directly before all names with a prefix.
 
-    No name holds a tilde, and it sorts after everything that a name can hold.
+    It ends with a tilde, which sorts after every character allowed in names.
     """
     if not prefix:
         return ''
--- a/lentilmount/queries/pages.py
+++ b/lentilmount/queries/pages.py
@@ -1,4 +1,4 @@
-"""What a list asks for, and one page of its answer."""
+"""Filters and pages of list queries."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @attrs.frozen
 class ListFilter:
-    """Which resources are wanted.
+    """Filter and page limit of a list query.
 
     Attributes:
-      kind: Their kind.
-      teams: Teams whose resources are visible; None for everything.
-      team: Only this team's, if given.
-      name: Only names that begin so.
-      phase: Only in this phase, if given.
-      after: Where the page before ended; its `next`.
-      limit: Most resources of the page.
+      kind: Kind of resource.
+      teams: Teams whose resources are visible; None for all teams.
+      team: Only resources of this team, if given.
+      name: Only names with this prefix.
+      phase: Only resources in this phase, if given.
+      after: The field `next` of the previous page; '' for the first page.
+      limit: Maximum number of resources on the page.
     """
 
     kind: Kind
@@ -34,12 +34,12 @@
     limit: int = DEFAULT_LIMIT
 
     def sees(self, team: str) -> bool:
-        """Tells whether a team's resources are visible and wanted."""
+        """Returns whether a team's resources are visible and match."""
         visible = self.teams is None or team in self.teams
         return visible and (not self.team or team == self.team)
 
     def accepts(self, resource: Resource) -> bool:
-        """Tells whether a resource is wanted."""
+        """Returns whether a resource is visible and matches the filter."""
         metadata = resource.metadata
         is_team = resource.kind is Kind.TEAM
         return (
@@ -51,24 +51,24 @@
 
 @attrs.frozen
 class Page:
-    """Some resources, and where the next page begins, or ''."""
+    """A page of resources; `next` continues the list, '' on the last page."""
 
     items: tuple[Resource, ...]
     next: str = ''
 
 
-def make_place(resource: Resource) -> str:
-    """Returns where a resource stands in a list."""
+def make_sort_key(resource: Resource) -> str:
+    """Returns the key by which lists are sorted and continued."""
     return f'{resource.metadata.team}/{resource.metadata.name}'
 
 
 def make_page(items: Iterable[Resource], wanted: ListFilter) -> Page:
-    """Cuts a page out of all resources of a kind."""
-    left = sorted(
-        (item for item in items if make_place(item) > wanted.after),
-        key=make_place,
+    """Returns the page of a filter from all resources of a kind."""
+    remaining = sorted(
+        (item for item in items if make_sort_key(item) > wanted.after),
+        key=make_sort_key,
     )
-    found = [item for item in left if wanted.accepts(item)]
+    found = [item for item in remaining if wanted.accepts(item)]
     page = tuple(found[: wanted.limit])
     more = len(found) > wanted.limit
-    return Page(page, make_place(page[-1]) if more else '')
+    return Page(page, make_sort_key(page[-1]) if more else '')
--- a/lentilmount/queries/resources.py
+++ b/lentilmount/queries/resources.py
@@ -1,4 +1,4 @@
-"""Reading resources with their status."""
+"""Reads resources with their status."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from lentilmount.routing.directory import Upstream, UpstreamDirectory
 from lentilmount.slices import find_worker_slice, get_zone
 
-MOST_ROWS = 2000
-"""Rows of the table that one list may read; the rest is for the next page."""
+MAX_ROWS = 2000
+"""Maximum table rows that one list query reads before its page ends early."""
 
 
 class Reader:
@@ -53,7 +53,7 @@
 
         Raises:
           NotFoundError: There is no such resource.
-          StoreError: The table does not answer.
+          StoreError: The table service is unavailable.
         """
         try:
             found = await self._find(kind, team, name)
@@ -77,19 +77,19 @@
         return self._add_service_status(resource) if resource else None
 
     async def list_page(self, wanted: ListFilter) -> Page:
-        """Returns a page of resources, in the order of team and name.
+        """Returns a page of resources, sorted by team and name.
 
-        Workers come in the order of slice and name. A page can be short of
-        the limit, even empty, and yet not be the last one: one call reads a
+        Workers are sorted by slice and name. A page that is not the last can
+        have fewer resources than the limit, or none, as one call reads a
         bounded number of rows.
 
         Raises:
-          StoreError: The table does not answer.
+          StoreError: The table service is unavailable.
         """
         try:
             if wanted.kind is Kind.JOB:
                 teams = self._list_job_teams(wanted)
-                return await self._jobs.list_page(wanted, teams, MOST_ROWS)
+                return await self._jobs.list_page(wanted, teams, MAX_ROWS)
             if wanted.kind is Kind.WORKER:
                 return await self._list_workers(wanted)
         except UnavailableError as error:
@@ -106,8 +106,8 @@
     def _list_job_teams(self, wanted: ListFilter) -> list[str]:
         """Returns the teams whose jobs are to be listed.
 
-        Without a team in the filter, these are the declared ones: the table
-        has no list of teams.
+        Without a team in the filter, these are the declared teams, as the table
+        does not list teams.
         """
         if wanted.team:
             return [wanted.team]
@@ -151,7 +151,7 @@
                         items.append(worker)
                 if len(rows) < limit:
                     break
-                if read >= MOST_ROWS:
+                if read >= MAX_ROWS:
                     return Page(tuple(items), f'{slice_name}~{start}')
         return Page(tuple(items))
 
--- a/lentilmount/queries/revisions.py
+++ b/lentilmount/queries/revisions.py
@@ -1,4 +1,4 @@
-"""Reads the configuration's rows: its counter, its log, or all of it."""
+"""Reads the configuration from the table: revision, changes, or a snapshot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def read_change(row: Row) -> Change:
-    """Reads a row of the configuration's log."""
+    """Decodes an entry of the configuration's change log."""
     resource = row.body['resource']
     return Change(
         int(row.key.sort),
@@ -32,10 +32,10 @@
 async def read_changes(
     table: Table, after: int, newest: int
 ) -> list[Change] | None:
-    """Returns the changes from `after` to `newest`, or later.
+    """Returns the changes after a revision, at least up to `newest`.
 
     Returns:
-      None if the log no longer goes back that far.
+      The changes, or None if some of them were pruned.
     """
     changes: list[Change] = []
     last = after
@@ -51,15 +51,15 @@
 
 
 async def read_snapshot(table: Table) -> tuple[int, list[Resource]] | None:
-    """Returns a revision and every resource at it.
+    """Returns a consistent snapshot: a revision and all resources at it.
 
-    The scan takes several calls while others write, so what it finds may be
-    a mixture: some rows older than a change and some newer. The changes that
-    were accepted from before the scan until after it, put on top in order,
-    bring every row that was touched to the same revision.
+    The scan takes several calls during concurrent writes, so its rows may be
+    of different revisions. Applying in order all changes that were accepted
+    from before the scan until after it brings every changed row to the same
+    revision.
 
     Returns:
-      None if the log was cut off faster than this could read.
+      The snapshot, or None if the log was pruned faster than it was read.
     """
     for _ in range(TRIES):
         before = await read_revision(table)
--- a/lentilmount/queries/statuses.py
+++ b/lentilmount/queries/statuses.py
@@ -1,4 +1,4 @@
-"""What callers are told of tasks, services, workers and upstreams."""
+"""Builds the status that callers see of tasks, services, workers, upstreams."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_status(task: Task) -> Status:
-    """Returns what callers are told of a task."""
+    """Builds the status of a task for callers."""
     return Status(
         phase=task.phase,
         reason=task.reason,
@@ -20,7 +20,7 @@
 
 
 def make_service_status(running: int, wanted: int) -> Status:
-    """Returns what callers are told of a service."""
+    """Builds the status of a service for callers."""
     return Status(
         phase=Phase.RUNNING if running else Phase.PENDING,
         reason=f'{running} of {wanted} replicas run',
@@ -29,7 +29,7 @@
 
 
 def make_worker_status(record: WorkerRecord) -> Status:
-    """Returns what callers are told of a worker."""
+    """Builds the status of a worker for callers."""
     free = record.free
     conditions = [
         Condition('Free', f'{free.cores:g} cores, {free.memory_mb} MiB'),
@@ -50,7 +50,7 @@
 
 
 def make_upstream_status(upstream: Upstream) -> Status:
-    """Returns what callers are told of an upstream."""
+    """Builds the status of an upstream for callers."""
     return Status(
         phase=Phase.RUNNING,
         attempt=upstream.attempt,
--- a/lentilmount/queries/timeline.py
+++ b/lentilmount/queries/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: events of every daemon that can be reached, in one order."""
+"""Merges the events of all reachable daemons into one ordered timeline."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 _KINDS = frozenset(kind.value for kind in Kind)
 
 Cursor = dict[str, Stamp]
-"""The newest event that was taken from each daemon."""
+"""Timestamp of the newest event that was read from each daemon, by name."""
 
 
 @attrs.frozen
 class EventFilter:
-    """Which events are wanted.
+    """Filter of a timeline query.
 
     Attributes:
-      resource: Path of a resource, or the beginning of one up to a slash.
+      resource: Path of a resource, or a prefix that ends before a slash.
       request: Id of a request.
-      since_millis: Unix time; events later than this.
-      until_millis: Unix time; events up to this; 0 for no end.
-      limit: The newest so many of each daemon; 0 for all.
+      since_millis: Only events after this Unix time in milliseconds.
+      until_millis: Only events up to this Unix time in milliseconds; 0 for
+        no end.
+      limit: Maximum number of events per daemon, the newest; 0 for all.
     """
 
     resource: str = ''
@@ -38,7 +39,7 @@
     limit: int = DEFAULT_LIMIT
 
     def accepts(self, event: Event) -> bool:
-        """Tells whether an event is wanted."""
+        """Returns whether an event matches the filter."""
         until = self.until_millis
         return (
             is_within(event.resource, self.resource)
@@ -49,13 +50,13 @@
 
 
 @attrs.frozen
-class TimeLine:
-    """Events in order, and from whom there are none.
+class Timeline:
+    """Ordered events, and the daemons whose events are missing.
 
     Attributes:
-      events: In the order of their stamps.
-      unreachable: Daemons that are known and did not answer.
-      cursor: Where each daemon's events go on.
+      events: Events in the order of their timestamps.
+      unreachable: Names of known daemons that did not answer.
+      cursor: Position from which a later query continues.
     """
 
     events: tuple[Event, ...]
@@ -64,12 +65,16 @@
 
 
 class OtherDaemons(Protocol):
-    """What asks the other daemons."""
+    """Reads events from the other daemons."""
 
     async def list_events(
         self, wanted: EventFilter, cursor: Cursor
     ) -> dict[str, list[Event] | None]:
-        """Asks every known daemon at once; None where one did not answer."""
+        """Queries all known daemons concurrently.
+
+        Returns:
+          Events by daemon; None for a daemon that did not answer.
+        """
 
 
 def find_team(resource: str) -> str:
@@ -81,21 +86,21 @@
 def select_events(
     log: EventLog, wanted: EventFilter, after: Stamp | None = None
 ) -> list[Event]:
-    """Returns a daemon's own events that are wanted and later than a stamp."""
+    """Returns this daemon's matching events after a timestamp."""
     found = [e for e in log.select(after) if wanted.accepts(e)]
     return found[-wanted.limit :]
 
 
 async def merge_events(
     log: EventLog, others: OtherDaemons, wanted: EventFilter, cursor: Cursor
-) -> TimeLine:
-    """Merges this daemon's events with those of all others."""
+) -> Timeline:
+    """Merges this daemon's events with those of all others, by timestamp."""
     answers = await others.list_events(wanted, cursor)
     answers[log.daemon] = select_events(log, wanted, cursor.get(log.daemon))
     found = {name: evs for name, evs in answers.items() if evs is not None}
     newest = {name: evs[-1].stamp for name, evs in found.items() if evs}
     merged = heapq.merge(*found.values(), key=lambda event: event.stamp)
-    return TimeLine(
+    return Timeline(
         events=tuple(merged),
         unreachable=tuple(sorted(answers.keys() - found.keys())),
         cursor={**cursor, **newest},
@@ -105,7 +110,7 @@
 def keep_visible(
     events: Iterable[Event], teams: frozenset[str] | None
 ) -> Iterator[Event]:
-    """Yields the events of some teams' resources; of all for None."""
+    """Yields the events of the given teams' resources; all events for None."""
     for event in events:
         if teams is None or find_team(event.resource) in teams:
             yield event
--- a/lentilmount/queries/watch.py
+++ b/lentilmount/queries/watch.py
@@ -1,7 +1,7 @@
-"""Following changes: a stream that goes on from a cursor.
+"""Watches: streams of changes that continue from a cursor.
 
-A cursor holds a position in each change log of the table, so any daemon can
-carry on from any other's cursor.
+A cursor holds a position in each change log of the table, so every daemon can
+continue from a cursor of any other.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from lentilmount.coordination.table import Key, Row, Table, UnavailableError
 from lentilmount.errors import StoreError
 from lentilmount.queries.feed import (
-    Feed,
-    Place,
+    ChangeLogReader,
+    LogPosition,
     Positions,
     decode_cursor,
     encode_cursor,
@@ -31,24 +31,27 @@
 from lentilmount.rows import REVISION_KEY
 from lentilmount.waiting import wait_with_timeout
 
-LOOK_SECONDS = 0.1
-"""Between two looks at what is known, one for all watchers."""
+POLL_SECONDS = 0.1
+"""Period in seconds of checking for new entries, once for all watches; also the
+pause after a failed read of the table."""
 
 IDLE_SECONDS = 1.0
-"""How long a watcher rests at most, before it looks whether to go on."""
+"""Maximum time in seconds without a yield, so that the consumer of an idle
+watch can end it."""
 
 BOOKMARK_SECONDS = 15.0
+"""Period in seconds of bookmarks on an idle watch."""
 
 
 @attrs.frozen
 class WatchFilter:
-    """Which changes are wanted.
+    """Filter of a watch.
 
     Attributes:
-      teams: Teams whose resources are visible; None for everything.
+      teams: Teams whose resources are visible; None for all teams.
       kind: Only this kind, if given.
       team: Only this team, if given.
-      name: Only names that begin so.
+      name: Only names with this prefix.
     """
 
     teams: frozenset[str] | None = None
@@ -57,7 +60,7 @@
     name: str = ''
 
     def accepts(self, kind: Kind, team: str, name: str) -> bool:
-        """Tells whether a change of a resource is wanted."""
+        """Returns whether a change of a resource is visible and matches."""
         owner = name if kind is Kind.TEAM else team
         return (
             (self.teams is None or owner in self.teams)
@@ -72,9 +75,9 @@
     """One line of a watch.
 
     Attributes:
-      cursor: Where a watch goes on after this line.
-      event: An event's kind; applied or deleted for the configuration;
-        bookmark for a line that only moves the cursor.
+      cursor: Cursor from which a watch continues after this line.
+      event: Kind of event; "applied" or "deleted" for the configuration;
+        "bookmark" for a line that only advances the cursor.
       resource: The resource after the change; None for a bookmark.
       task: Id of the task that changed, or ''.
     """
@@ -89,11 +92,11 @@
 
 
 class Watcher:
-    """Follows the change logs for any number of callers.
+    """Serves any number of watches from the change logs.
 
     Args:
-      table: Where the logs are.
-      slices: The names of all slices.
+      table: Table with the change logs.
+      slices: Names of all slices.
       get_newest: Returns the number of the newest known entry of each log.
     """
 
@@ -106,49 +109,49 @@
         self._table = table
         self._logs = (CONFIGURATION_LOG, *slices)
         self._get_newest = get_newest
-        self._feed = Feed(table)
-        self._news = asyncio.Event()
-        self._looker: asyncio.Task[None] | None = None
-        self._followers = 0
+        self._reader = ChangeLogReader(table)
+        self._new_entries = asyncio.Event()
+        self._poller: asyncio.Task[None] | None = None
+        self._active_watches = 0
 
     def make_cursor(self) -> str:
-        """Returns a cursor that holds all that is known now."""
+        """Returns a cursor after the newest known entry of each log."""
         newest = self._get_newest()
         return encode_cursor(
-            {log: Place(newest.get(log, 0)) for log in self._logs}
+            {log: LogPosition(newest.get(log, 0)) for log in self._logs}
         )
 
     async def read_cursor(self, cursor: str) -> Positions:
-        """Checks where a watch is to go on.
+        """Decodes a cursor and checks that a watch can continue from it.
 
         Raises:
-          InvalidError: It is none of ours, or tells of changes that nobody
-            has made yet.
-          LentilmountError: Of kind GONE; see `Feed.read`.
-          StoreError: The table does not answer.
+          InvalidError: The cursor is malformed, belongs to another deployment,
+            or is ahead of the logs.
+          LentilmountError: Of kind GONE; see `ChangeLogReader.read`.
+          StoreError: The table service is unavailable.
         """
         positions = decode_cursor(cursor or self.make_cursor())
         if not positions.keys() <= set(self._logs):
             raise make_cursor_error('is of another deployment')
         try:
             newest = await self._read_newest(positions)
-            for log, place in positions.items():
-                if place.number + bool(place.taken) > newest[log]:
+            for log, position in positions.items():
+                if position.number + bool(position.taken) > newest[log]:
                     raise make_cursor_error(
                         f'is from the future: {log} is at {newest[log]}, '
-                        f'not {place.number}'
+                        f'not {position.number}'
                     )
-                if place.number < newest[log]:
-                    await self._feed.read(log, place.number)
+                if position.number < newest[log]:
+                    await self._reader.read(log, position.number)
         except UnavailableError as error:
             raise StoreError('the table service does not answer') from error
-        return {log: positions.get(log, Place()) for log in self._logs}
+        return {log: positions.get(log, LogPosition()) for log in self._logs}
 
     async def _read_newest(self, positions: Positions) -> dict[str, int]:
-        """Returns how long the logs are; asks the table where it must.
+        """Returns the number of the newest entry of each log.
 
-        Another daemon may have given a cursor that is ahead of what this
-        one has seen.
+        Reads the table if the positions are ahead of what this daemon knows:
+        the cursor may be from a daemon that has read newer entries.
         """
         newest = {log: self._get_newest().get(log, 0) for log in self._logs}
         if all(
@@ -166,74 +169,74 @@
     async def follow(
         self, positions: Positions, wanted: WatchFilter
     ) -> AsyncIterator[Notice | None]:
-        """Yields notices for ever, and None at times when there is none.
+        """Yields notices without end, and None while there is nothing new.
 
         Raises:
-          LentilmountError: Of kind GONE; see `Feed.read`.
+          LentilmountError: Of kind GONE; see `ChangeLogReader.read`.
         """
-        self._followers += 1
-        if self._looker is None:
-            self._looker = asyncio.create_task(self._look())
+        self._active_watches += 1
+        if self._poller is None:
+            self._poller = asyncio.create_task(self._poll())
         try:
             async for notice in self._follow(positions, wanted):
                 yield notice
         finally:
-            self._followers -= 1
-            if not self._followers and self._looker is not None:
-                self._looker.cancel()
-                self._looker = None
+            self._active_watches -= 1
+            if not self._active_watches and self._poller is not None:
+                self._poller.cancel()
+                self._poller = None
 
-    async def _look(self) -> None:
-        """Wakes all watchers when there is something new.
+    async def _poll(self) -> None:
+        """Wakes all watches when a log has new entries.
 
-        If each looked for itself, the daemon's processor time would rise with
-        the number of watchers although nothing happens.
+        If each watch polled by itself, the CPU time of an idle daemon would
+        grow with the number of watches.
         """
         known: dict[str, int] = {}
         while True:
             newest = dict(self._get_newest())
             if newest != known:
                 known = newest
-                self._news.set()
-                self._news = asyncio.Event()
-            await asyncio.sleep(LOOK_SECONDS)
+                self._new_entries.set()
+                self._new_entries = asyncio.Event()
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _follow(
         self, positions: Positions, wanted: WatchFilter
     ) -> AsyncIterator[Notice | None]:
         loop = asyncio.get_running_loop()
-        told = loop.time()
+        last_notice_time = loop.time()
         yield Notice(encode_cursor(positions), BOOKMARK)
         while True:
-            news = self._news
-            for row in await self._read_more(positions):
-                for notice in _tell_entry(row, positions, wanted):
-                    told = loop.time()
+            new_entries = self._new_entries
+            for row in await self._read_next_entries(positions):
+                for notice in _make_notices(row, positions, wanted):
+                    last_notice_time = loop.time()
                     yield notice
-            if loop.time() - told >= BOOKMARK_SECONDS:
-                told = loop.time()
+            if loop.time() - last_notice_time >= BOOKMARK_SECONDS:
+                last_notice_time = loop.time()
                 yield Notice(encode_cursor(positions), BOOKMARK)
             if self._is_current(positions):
                 yield None
-                await wait_with_timeout(news, IDLE_SECONDS)
+                await wait_with_timeout(new_entries, IDLE_SECONDS)
 
     def _is_current(self, positions: Positions) -> bool:
         newest = self._get_newest()
         return all(
-            place.number >= newest.get(log, 0)
-            for log, place in positions.items()
+            position.number >= newest.get(log, 0)
+            for log, position in positions.items()
         )
 
-    async def _read_more(self, positions: Positions) -> list[Row]:
+    async def _read_next_entries(self, positions: Positions) -> list[Row]:
         newest = self._get_newest()
-        for log, place in positions.items():
-            if place.number < newest.get(log, 0):
+        for log, position in positions.items():
+            if position.number < newest.get(log, 0):
                 try:
-                    return await self._feed.read(log, place.number)
+                    return await self._reader.read(log, position.number)
                 except UnavailableError:
-                    # Nothing is lost: the position stays, and the entries
-                    # are read once the table is back.
-                    await asyncio.sleep(LOOK_SECONDS)
+                    # No entry is lost: the position stays, and the entries are
+                    # read once the table is available again.
+                    await asyncio.sleep(POLL_SECONDS)
         return []
 
 
@@ -247,41 +250,47 @@
     return int(row.body['data'].get('sequence', 0))
 
 
-def _tell_entry(
+def _make_notices(
     row: Row, positions: Positions, wanted: WatchFilter
 ) -> Iterator[Notice]:
-    """Yields the notices of one entry, and moves the position on."""
+    """Yields the notices of one log entry and advances the position."""
     log = row.key.partition.partition('/')[2]
     number, taken = get_number(row), positions[log].taken
     if log == CONFIGURATION_LOG:
-        parts = [_tell_configuration(row, wanted)]
+        notices = [_make_configuration_notice(row, wanted)]
     else:
         changes = read_changes(row)
-        parts = [_tell_task(event, task, wanted) for event, task in changes]
-    for index, notice in enumerate(parts):
+        notices = [
+            _make_task_notice(event, task, wanted) for event, task in changes
+        ]
+    for index, notice in enumerate(notices):
         if index < taken:
             continue
-        is_last = index + 1 == len(parts)
+        is_last = index + 1 == len(notices)
         positions[log] = (
-            Place(number) if is_last else Place(number - 1, index + 1)
+            LogPosition(number)
+            if is_last
+            else LogPosition(number - 1, index + 1)
         )
         if notice is not None:
             yield attrs.evolve(notice, cursor=encode_cursor(positions))
-    positions[log] = Place(number)
+    positions[log] = LogPosition(number)
 
 
-def _tell_configuration(row: Row, wanted: WatchFilter) -> Notice | None:
+def _make_configuration_notice(row: Row, wanted: WatchFilter) -> Notice | None:
     kind, team, name = row.body['path'].split('/')
     if not wanted.accepts(Kind(kind), team, name):
         return None
     if row.body['resource'] is None:
-        gone = Metadata(name, team, get_number(row))
-        return Notice('', 'deleted', _describe(Kind(kind), gone))
+        metadata = Metadata(name, team, get_number(row))
+        return Notice('', 'deleted', _describe(Kind(kind), metadata))
     resource = structure_resource(row.body['resource'])
     return Notice('', 'applied', _describe(resource.kind, resource.metadata))
 
 
-def _tell_task(event: str, task: Task, wanted: WatchFilter) -> Notice | None:
+def _make_task_notice(
+    event: str, task: Task, wanted: WatchFilter
+) -> Notice | None:
     kind, team, name = task.resource.split('/')
     if not wanted.accepts(Kind(kind), team, name):
         return None
--- a/lentilmount/status.py
+++ b/lentilmount/status.py
@@ -1,10 +1,10 @@
-"""Exit statuses of both programs."""
+"""Exit statuses of the daemon and the command-line tool."""
 
 import enum
 
 
 class ExitStatus(enum.IntEnum):
-    """What a process tells its caller when it ends."""
+    """Exit status of a process."""
 
     OK = 0
     ERROR = 1
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -18,7 +18,7 @@
 from lentilmount.coordination.table import Delete, Key, Put, UnavailableError
 from lentilmount.daemon.lifecycle import Daemon
 from lentilmount.errors import ErrorKind, InvalidError, LentilmountError
-from lentilmount.queries.feed import Place, encode_cursor
+from lentilmount.queries.feed import LogPosition, encode_cursor
 from lentilmount.queries.watch import BOOKMARK, Watcher, WatchFilter
 from lentilmount.resources import Demand, Kind
 from lentilmount.rows import REVISION_KEY
@@ -169,11 +169,11 @@
         ahead = logs.watcher.make_cursor()
         logs.known[SLICE] = 0
         positions = await logs.watcher.read_cursor(ahead)
-        assert positions[SLICE] == Place(1)
+        assert positions[SLICE] == LogPosition(1)
         for wrong in (
-            {SLICE: Place(2)},
-            {SLICE: Place(1, 1)},
-            {'x/0': Place()},
+            {SLICE: LogPosition(2)},
+            {SLICE: LogPosition(1, 1)},
+            {'x/0': LogPosition()},
         ):
             with pytest.raises(InvalidError):
                 await logs.watcher.read_cursor(encode_cursor(wrong))
@@ -319,7 +319,7 @@
 
 
 def test_a_watch_from_the_future_is_refused(site: Site) -> None:
-    cursor = encode_cursor({CONFIGURATION_LOG: Place(10**9)})
+    cursor = encode_cursor({CONFIGURATION_LOG: LogPosition(10**9)})
     told = site.tool('watch', '--cursor', cursor)
     assert told.status == 3
     assert 'cursor: is from the future' in told.err
