--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Tokens: a team sees and touches its own things, on every route."""
+"""Access control: on every route, a token reaches only its team's resources."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ).encode()
 TEAM = json.dumps({'kind': 'Team', 'metadata': {'name': 'desk'}}).encode()
 
-FOREIGN = [
+OTHER_TEAM_REQUESTS = [
     ('GET', '/v1/jobs?team=desk', None),
     ('GET', '/v1/services?team=desk', None),
     ('GET', '/v1/upstreams?team=desk', None),
@@ -44,13 +44,13 @@
 
 
 @pytest.fixture(scope='module', autouse=True)
-def _secret(site: Site) -> None:
+def _submit_job(site: Site) -> None:
     site.call('POST', '/v1/jobs', json.loads(JOB))
     site.tool('apply', '-f', '-', '--wait', stdin=JOB.decode())
 
 
-@pytest.mark.parametrize(('method', 'path', 'body'), FOREIGN)
-def test_a_rival_is_refused(
+@pytest.mark.parametrize(('method', 'path', 'body'), OTHER_TEAM_REQUESTS)
+def test_requests_for_another_team_are_refused(
     site: Site, method: str, path: str, body: bytes | None
 ) -> None:
     answer = site.send(method, path, body, token='rival')
@@ -67,23 +67,23 @@
         ('DELETE', '/v1/jobs/desk/{}'),
     ],
 )
-def test_a_refusal_does_not_tell_what_exists(
+def test_refusals_do_not_disclose_names(
     site: Site, method: str, path: str
 ) -> None:
-    """An answer without a valid token told whether a name exists."""
-    told = []
+    """The refusal of a foreign token disclosed whether a name exists."""
+    problems = []
     for name in ('secret-run', 'airtime', 'no-such-thing'):
         answer = site.send(method, path.format(name), token='rival')
         problem = json.loads(answer.body)
         del problem['request']
-        told.append(problem)
-    assert told[0] == told[1] == told[2]
+        problems.append(problem)
+    assert problems[0] == problems[1] == problems[2]
 
 
-def test_a_rival_lists_and_watches_only_its_own(site: Site) -> None:
+def test_lists_and_watches_show_only_own_resources(site: Site) -> None:
     site.call('POST', '/v1/jobs', make_job('mine', 'rival'), token='rival')
-    # Done before the cursor is taken: on a slow machine the events counted
-    # below would else all be of this job.
+    # The job completes before the cursor is made: on a slow machine, the events
+    # counted below would otherwise all belong to it.
     site.tool(
         *('apply', '-f', '-', '--wait'),
         stdin=json.dumps([make_job('mine', 'rival')]),
@@ -107,7 +107,7 @@
     assert 'hers' not in seen.out
 
 
-def test_a_rival_sees_no_time_line_of_others(site: Site) -> None:
+def test_timeline_hides_events_of_other_teams(site: Site) -> None:
     whole = json.dumps(site.call('GET', '/v1/timeline')['events'])
     assert 'Job/desk/secret-run' in whole
     for query in ('', '?resource=Job/desk/secret-run', '?resource=Job/desk'):
@@ -116,7 +116,7 @@
         assert all(e['resource'].split('/')[1] == 'rival' for e in events)
 
 
-def test_a_rival_sees_no_metrics_labels_of_others(site: Site) -> None:
+def test_metrics_hide_labels_of_other_teams(site: Site) -> None:
     site.send('GET', '/call/desk/airtime/x', listener='callers')
 
     def scrape(token: str) -> str:
@@ -135,7 +135,7 @@
     ]
 
 
-def test_a_rival_calls_no_service_of_others(site: Site) -> None:
+def test_calls_to_services_of_other_teams_are_refused(site: Site) -> None:
     answer = site.send(
         'POST', '/call/desk/airtime/x', b'', token='rival', listener='callers'
     )
@@ -143,8 +143,8 @@
     assert answer.headers['Lentilmount-Ran'] == 'no'
 
 
-def test_a_rival_is_not_answered_by_a_request_id(site: Site) -> None:
-    """Stored by its id alone, an answer went to another team's request."""
+def test_request_ids_are_separate_per_team(site: Site) -> None:
+    """A response stored by its id alone went to another team's request."""
     mine = make_service('hidden', 'desk', replicas=1)
     first = site.call('POST', '/v1/services', mine, Lentilmount_Request='id-1')
     again = site.call('POST', '/v1/services', mine, Lentilmount_Request='id-1')
@@ -158,8 +158,8 @@
     assert answer['resource']['metadata']['name'] == 'own'
 
 
-def test_every_route_wants_a_token(site: Site) -> None:
-    """Every route of every listener, but for health and readiness."""
+def test_every_route_requires_a_token(site: Site) -> None:
+    """Every route but health and readiness refuses requests without a token."""
     daemon: Daemon = site.daemons[0]
     assert daemon.addresses.keys() == {
         *('callers', 'operators', 'metrics', 'peers')
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: JSON with comments, and every wrong field at once."""
+"""Settings files, reloads, log formats and token lookup."""
 
 import io
 import json
@@ -47,7 +47,7 @@
     assert settings.entry_hosts == 8
 
 
-def test_every_wrong_field_is_named_with_its_line() -> None:
+def test_invalid_fields_are_reported_with_their_lines() -> None:
     text = GOOD.replace('"poll": 0.5', '"poll": -1').replace(
         '"http://127.0.0.1:2"', '7'
     )
@@ -57,7 +57,7 @@
     assert found == {'times.poll': 11, 'platform.objects': 8}
 
 
-def test_everything_wrong_is_told_at_once() -> None:
+def test_all_invalid_fields_are_reported_together() -> None:
     text = """{
       "name": "", "zone": "q", "zones": ["a"], /* { "zone": */
       "platform": {"table": "x", "objects": 3, "extra": 1},
@@ -105,13 +105,13 @@
         (GOOD.replace('"zone":', '"name": "x", "zone":'), 'Duplicate key'),
     ],
 )
-def test_what_is_no_settings_file(text: str, told: str) -> None:
+def test_unparsable_settings_files(text: str, told: str) -> None:
     with pytest.raises(SettingsError) as caught:
         parse_settings(text)
     assert told in str(caught.value)
 
 
-def test_without_tls_only_loopback_unless_told_by_name() -> None:
+def test_plaintext_needs_loopback_or_explicit_permission() -> None:
     wide = GOOD.replace(
         '"times"', '"listen": {"metrics": "0.0.0.0:1"}, "times"'
     )
@@ -122,8 +122,8 @@
     assert parse_settings(allowed).listen.metrics == '0.0.0.0:1'
 
 
-def list_fields(cls: Any, value: Any, path: str = '') -> list[str]:
-    """Returns the fields that a plain value lacks."""
+def list_missing_fields(cls: Any, value: Any, path: str = '') -> list[str]:
+    """Returns the paths of fields that are missing in a JSON object."""
     missing = []
     for name, field in attrs.fields_dict(cls).items():
         if name not in value:
@@ -133,7 +133,9 @@
             and field.type
             and attrs.has(field.type)
         ):
-            missing += list_fields(field.type, value[name], f'{path}{name}.')
+            missing += list_missing_fields(
+                field.type, value[name], f'{path}{name}.'
+            )
     return missing
 
 
@@ -142,7 +144,7 @@
     parse_settings(text)
     attrs.resolve_types(Settings)
     value = json5.loads(text)
-    assert list_fields(Settings, value) == []
+    assert list_missing_fields(Settings, value) == []
     for name in ('certificate', 'key', 'minimum_version', 'authority'):
         assert f'"{name}"' in text
     defaults = Settings('x', 'x', ('x',), parse_settings(GOOD).platform)
@@ -150,7 +152,7 @@
         assert value[field] == attrs.asdict(getattr(defaults, field))
 
 
-def test_check_settings_as_a_process(tmp_path: pathlib.Path) -> None:
+def test_check_settings_exit_statuses(tmp_path: pathlib.Path) -> None:
     wrong = tmp_path / 'wrong.json'
     wrong.write_text(GOOD.replace('0.5', '-1'))
     statuses = {}
@@ -174,8 +176,8 @@
     }
 
 
-def test_a_reload_takes_what_may_change_and_tells_the_rest() -> None:
-    """A wrong file of settings changed what was in force."""
+def test_reload_applies_reloadable_fields_and_reports_others() -> None:
+    """An invalid settings file must not change the active settings."""
     old = parse_settings(GOOD)
     new = attrs.evolve(
         old,
@@ -216,7 +218,7 @@
     assert handler.level == logbook.ERROR
 
 
-def test_log_lines_carry_ids_and_libraries_log_the_same_way() -> None:
+def test_log_lines_have_ids_and_libraries_use_the_same_format() -> None:
     text, lines = io.StringIO(), io.StringIO()
     log = logbook.Logger('part')
     with make_handler('text', 'info', text), bound(request='r1'):
@@ -239,7 +241,7 @@
     assert 'ValueError: reason' in failed['trace']
 
 
-def test_tokens_are_compared_by_hash() -> None:
+def test_tokens_are_looked_up_by_hash() -> None:
     gate = Gate([AccessSettings('a', hash_token('secret'), '*', ('read',))])
     assert gate.admit('bearer secret').name == 'a'
     for header in ('', 'Bearer', 'secret', f'Bearer {hash_token("secret")}'):
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Layers import one way only, and the list of known failures is read."""
+"""Checks imports between layers and the format of the known failures."""
 
 from __future__ import annotations
 
@@ -40,10 +40,11 @@
     'scheduling': set(),
     'platform': {'coordination', 'scheduling', 'upstream'},
     'control': {'coordination', 'platform', 'scheduling', 'upstream'},
-    # What all layers share imports none, but for the keys of rows.
+    # Shared modules import no layer, except `rows`, which builds table keys.
     '': {'coordination'},
 }
-"""Which other layers each may import; the table's Protocol is below all."""
+"""The layers that each layer may import; the Protocol of the table is in the
+lowest one."""
 
 
 def list_imports(path: pathlib.Path) -> set[str]:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches: from a cursor on, without a gap or a repeat."""
+"""Watches deliver every change after a cursor exactly once."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 
 class Logs:
-    """Change logs in a table, and what a daemon knows of them."""
+    """Change logs in a table, and the newest entries that a daemon knows."""
 
     def __init__(self) -> None:
         self.table = MemoryTable()
-        self.known = {CONFIGURATION_LOG: 0, SLICE: 0}
-        self.told: list[str] = []
+        self.newest = {CONFIGURATION_LOG: 0, SLICE: 0}
+        self.changed_names: list[str] = []
         self.watcher = self.make_watcher()
 
     def make_watcher(self) -> Watcher:
-        return Watcher(self.table, (SLICE,), lambda: dict(self.known))
+        return Watcher(self.table, (SLICE,), lambda: dict(self.newest))
 
-    async def add(self, *names: str) -> None:
-        """Logs one transaction that changed some jobs."""
-        self.known[SLICE] += 1
-        number = self.known[SLICE]
+    async def add_jobs(self, *names: str) -> None:
+        """Adds an entry for a transaction that changed the named jobs."""
+        self.newest[SLICE] += 1
+        number = self.newest[SLICE]
         changes = [
             {
                 'event': 'placed',
@@ -62,12 +62,12 @@
                 Put(make_slice_key(SLICE), head, number - 1),
             ],
         )
-        self.told += names
+        self.changed_names += names
 
-    async def declare(self, name: str) -> None:
-        """Logs a change of the configuration."""
-        self.known[CONFIGURATION_LOG] += 1
-        number = self.known[CONFIGURATION_LOG]
+    async def add_team(self, name: str) -> None:
+        """Adds an entry for a change of a team in the configuration."""
+        self.newest[CONFIGURATION_LOG] += 1
+        number = self.newest[CONFIGURATION_LOG]
         team = {
             'kind': 'Team',
             'metadata': {'name': name, 'revision': number},
@@ -78,12 +78,16 @@
         await self.table.transact(
             name, [Put(key, body), Put(REVISION_KEY, {}, number - 1)]
         )
-        self.told.append(name)
+        self.changed_names.append(name)
 
-    async def take(
+    async def watch(
         self, cursor: str, most: int = 1000
     ) -> tuple[list[str], str]:
-        """Watches until all is told or so much is; returns names, cursor."""
+        """Watches until nothing is new or `most` changes have arrived.
+
+        Returns:
+          Names of the changed resources, and the last cursor.
+        """
         positions = await self.watcher.read_cursor(cursor)
         names: list[str] = []
         if not most:
@@ -112,10 +116,10 @@
         max_size=25,
     )
 )
-def test_a_cut_watch_goes_on_without_gap_or_repeat(
+def test_resumed_watch_has_no_gaps_or_repeats(
     steps: list[tuple[str, int]],
 ) -> None:
-    """A watch that was cut missed changes, or told them twice."""
+    """A watch that was resumed missed changes or delivered them twice."""
 
     async def check() -> None:
         logs = Logs()
@@ -123,32 +127,34 @@
         seen: list[str] = []
         for index, (step, number) in enumerate(steps):
             if step == 'job':
-                await logs.add(*(f'j{index}-{n}' for n in range(number)))
+                await logs.add_jobs(*(f'j{index}-{n}' for n in range(number)))
             elif step == 'team':
-                await logs.declare(f't{index}')
+                await logs.add_team(f't{index}')
             elif step == 'take':
-                names, cursor = await logs.take(cursor, number)
+                names, cursor = await logs.watch(cursor, number)
                 seen += names
             else:
                 logs.watcher = logs.make_watcher()
-        names, cursor = await logs.take(cursor)
+        names, cursor = await logs.watch(cursor)
         seen += names
-        assert sorted(seen) == sorted(logs.told)
+        assert sorted(seen) == sorted(logs.changed_names)
         for letter in 'jt':
-            told = [name for name in logs.told if name[0] == letter]
-            assert [name for name in seen if name[0] == letter] == told
+            expected = [
+                name for name in logs.changed_names if name[0] == letter
+            ]
+            assert [name for name in seen if name[0] == letter] == expected
 
     run(check())
 
 
-def test_a_pruned_log_is_told() -> None:
-    """A watch went on behind entries that were pruned."""
+def test_watch_from_pruned_entries_is_refused() -> None:
+    """A watch skipped entries that had been pruned."""
 
     async def check() -> None:
         logs = Logs()
         cursor = logs.watcher.make_cursor()
         for number in range(3):
-            await logs.add(f'j{number}')
+            await logs.add_jobs(f'j{number}')
         await logs.table.transact(
             'prune', [Delete(make_change_key(SLICE, 1), 1)]
         )
@@ -160,15 +166,15 @@
     run(check())
 
 
-def test_a_cursor_ahead_of_this_daemon_is_no_future_one() -> None:
-    """A cursor of a daemon that is ahead was refused."""
+def test_cursor_ahead_of_this_daemon_is_accepted() -> None:
+    """A cursor from a daemon that had read newer entries was rejected."""
 
     async def check() -> None:
         logs = Logs()
-        await logs.add('a')
-        ahead = logs.watcher.make_cursor()
-        logs.known[SLICE] = 0
-        positions = await logs.watcher.read_cursor(ahead)
+        await logs.add_jobs('a')
+        newer_cursor = logs.watcher.make_cursor()
+        logs.newest[SLICE] = 0
+        positions = await logs.watcher.read_cursor(newer_cursor)
         assert positions[SLICE] == LogPosition(1)
         for wrong in (
             {SLICE: LogPosition(2)},
@@ -185,7 +191,7 @@
 
 
 @attrs.define
-class _Outage(MemoryTable):
+class _FailingTable(MemoryTable):
     failing: int = 0
 
     def __attrs_pre_init__(self) -> None:
@@ -200,14 +206,14 @@
         return await super().scan(partition, after, limit)
 
 
-def test_an_outage_of_the_table_loses_nothing() -> None:
+def test_watch_loses_no_changes_in_a_table_outage() -> None:
     async def check() -> None:
         logs = Logs()
-        logs.table = _Outage()
+        logs.table = _FailingTable()
         logs.watcher = logs.make_watcher()
         cursor = logs.watcher.make_cursor()
         positions = await logs.watcher.read_cursor(cursor)
-        await logs.add('a', 'b')
+        await logs.add_jobs('a', 'b')
         logs.table.failing = 2
         seen = []
         async for notice in logs.watcher.follow(positions, ALL):
@@ -232,7 +238,7 @@
     assert not own_team.accepts(Kind.WORKER, '', 'desk-worker')
 
 
-def test_a_job_is_followed_from_accepted_to_completed(site: Site) -> None:
+def test_watch_reports_a_job_from_accepted_to_completed(site: Site) -> None:
     start = site.call('GET', '/v1/jobs')['cursor']
     site.tool('apply', '-f', '-', '--wait', stdin=json.dumps(make_job('seen')))
     shown = site.tool(
@@ -250,13 +256,13 @@
     assert [json.loads(n)['event'] for n in rest.out.splitlines()] == events[2:]
 
 
-def test_refused_evicted_and_resumed_work_is_followed(site: Site) -> None:
-    """A watch did not tell why work was refused or stopped."""
+def test_watch_reports_refused_evicted_and_resumed_jobs(site: Site) -> None:
+    """A watch did not report why jobs were refused or stopped."""
     start = site.call('GET', '/v1/jobs')['cursor']
     large = make_job('large', demand={'cores': 1000, 'memory_mb': 1})
-    told = site.tool('apply', '-f', '-', '--wait', stdin=json.dumps(large))
-    assert told.status == 1
-    assert 'Job desk/large: refused' in told.out
+    answer = site.tool('apply', '-f', '-', '--wait', stdin=json.dumps(large))
+    assert answer.status == 1
+    assert 'Job desk/large: refused' in answer.out
     site.hold_jobs(True)
     moved = make_job('moved', payload='{"seconds": 0.5}')
     site.tool('apply', '-f', '-', stdin=json.dumps(moved))
@@ -288,10 +294,10 @@
     assert notices[-1]['resource']['status']['attempt'] == 2
 
 
-def test_a_watch_ends_with_the_daemon_and_goes_on_elsewhere(
+def test_watch_ends_on_shutdown_and_resumes_on_another_daemon(
     site: Site,
 ) -> None:
-    """A watch without an end kept a stop waiting."""
+    """An open watch delayed the shutdown of its daemon."""
 
     async def check() -> list[str]:
         settings = site.make_settings('watched', 'lodz')
@@ -318,12 +324,12 @@
     assert 'accepted' in seen.out
 
 
-def test_a_watch_from_the_future_is_refused(site: Site) -> None:
+def test_cursor_ahead_of_the_logs_is_refused(site: Site) -> None:
     cursor = encode_cursor({CONFIGURATION_LOG: LogPosition(10**9)})
-    told = site.tool('watch', '--cursor', cursor)
-    assert told.status == 3
-    assert 'cursor: is from the future' in told.err
+    answer = site.tool('watch', '--cursor', cursor)
+    assert answer.status == 3
+    assert 'cursor: is from the future' in answer.err
 
 
-def test_the_table_key_of_a_log_is_what_slices_write() -> None:
+def test_change_log_keys() -> None:
     assert make_change_key(SLICE, 7) == Key('change/alex-a/0', '000000000007')
