--- a/lentilmount/queries/feed.py
+++ b/lentilmount/queries/feed.py
@@ -84,7 +84,7 @@
 
     def __init__(self, table: Table):
         self._table = table
-        self._cached: dict[str, collections.deque[Row]] = {}
+        self._caches: dict[str, collections.deque[Row]] = {}
 
     async def read(self, log: str, after: int) -> list[Row]:
         """Returns the next entries after a number, at least one, without a gap.
@@ -93,13 +93,11 @@
           LentilmountError: Of kind GONE; the next entry was pruned.
           UnavailableError: The table service is unavailable.
         """
-        cached = self._cached.setdefault(
+        cache = self._caches.setdefault(
             log, collections.deque(maxlen=CACHE_SIZE)
         )
-        if cached and get_number(cached[0]) <= after + 1 <= get_number(
-            cached[-1]
-        ):
-            return [row for row in cached if get_number(row) > after]
+        if cache and get_number(cache[0]) <= after + 1 <= get_number(cache[-1]):
+            return [row for row in cache if get_number(row) > after]
         start = make_change_key(log, after)
         rows = await self._table.scan(start.partition, start.sort, PAGE)
         if not rows or get_number(rows[0]) != after + 1:
@@ -108,14 +106,16 @@
                 f'again and watch from there',
                 kind=ErrorKind.GONE,
             )
-        self._cache(cached, rows)
+        self._extend_cache(cache, rows)
         return rows
 
-    def _cache(self, cached: collections.deque[Row], rows: list[Row]) -> None:
-        newest = get_number(cached[-1]) if cached else 0
+    def _extend_cache(
+        self, cache: collections.deque[Row], rows: list[Row]
+    ) -> None:
+        newest = get_number(cache[-1]) if cache else 0
         if newest + 1 < get_number(rows[0]):
-            cached.clear()
-        cached.extend(row for row in rows if get_number(row) > newest)
+            cache.clear()
+        cache.extend(row for row in rows if get_number(row) > newest)
 
 
 def get_number(row: Row) -> int:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -70,7 +70,7 @@
 def test_refusals_do_not_disclose_names(
     site: Site, method: str, path: str
 ) -> None:
-    """The refusal of a foreign token disclosed whether a name exists."""
+    """Refusals of another team's token disclosed whether a name exists."""
     problems = []
     for name in ('secret-run', 'airtime', 'no-such-thing'):
         answer = site.send(method, path.format(name), token='rival')
