--- a/examples/coordination.py
+++ b/examples/coordination.py
@@ -1,7 +1,8 @@
-"""A nightly report that two processes look after and one of them sends.
+"""Sends a nightly report from exactly one of two processes.
 
-Each process runs this with its own name and, in earnest, with a table that
-both reach. Here both run in one process on a table in memory.
+In production each process runs `send_report` under its own name on a table
+that both can reach. In this example both run in one process on a table in
+memory.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 async def send_report(table: Table, name: str, night: str) -> str:
-    """Takes the lease and records the report of a night, once."""
+    """Acquires the lease and records the report of a night, at most once."""
     keeper = LeaseKeeper(table, name, LEASE_SECONDS, time.monotonic)
     lease = await keeper.try_acquire(REPORT)
     while lease is None:
@@ -26,8 +27,8 @@
         lease = await keeper.try_acquire(REPORT)
     sent = Put(Key('sent', night), {'by': name, 'epoch': lease.epoch})
     try:
-        # One transaction renews the lease and records the report: it fails
-        # whole if another process has taken the lease meanwhile.
+        # One transaction renews the lease and records the report; it fails
+        # as a whole if another process has acquired the lease meanwhile.
         await keeper.renew(lease, [sent])
     except LeaseLostError:
         return f'{name} lost the lease'
@@ -39,7 +40,7 @@
 
 
 async def main() -> list[str]:
-    """Lets two processes try at once."""
+    """Runs two processes that compete for the lease."""
     table = MemoryTable()
     return await asyncio.gather(
         send_report(table, 'one/1', '2026-12-02'),
--- a/lentilmount/cli/__init__.py
+++ b/lentilmount/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool of operators, over the resource API only."""
+"""The operators' command-line tool, a client of the resource API."""
--- a/lentilmount/cli/actions.py
+++ b/lentilmount/cli/actions.py
@@ -1,4 +1,4 @@
-"""What each command of the tool does."""
+"""Maps the name of each command to the function that runs it."""
 
 from __future__ import annotations
 
--- a/lentilmount/cli/changes.py
+++ b/lentilmount/cli/changes.py
@@ -1,4 +1,4 @@
-"""Commands that change something."""
+"""Commands that create, change or delete resources."""
 
 from __future__ import annotations
 
@@ -13,113 +13,116 @@
 
 
 async def validate(session: Session) -> ExitStatus:
-    """Checks a file without asking a daemon."""
-    for item in read_resources(session.options.file, session.env):
-        session.say(f'{item["kind"]} {name_resource(item)}: valid')
+    """Checks the resources of a file without contacting a daemon."""
+    for resource in read_resources(session.options.file, session.env):
+        session.print(f'{resource["kind"]} {name_resource(resource)}: valid')
     return ExitStatus.OK
 
 
 async def apply(session: Session) -> ExitStatus:
-    """Applies every resource of a file, in order."""
-    items = read_resources(session.options.file, session.env)
+    """Creates or changes every resource of a file, in order."""
+    resources = read_resources(session.options.file, session.env)
     if session.options.dry_run:
-        for item in items:
-            await _preview(session, item)
+        for resource in resources:
+            await _preview(session, resource)
         return ExitStatus.OK
-    answers = [await _apply_one(session, item) for item in items]
+    responses = [await _apply_one(session, resource) for resource in resources]
     if session.options.wait:
-        return await waits.wait_for_applied(session, answers)
+        return await waits.wait_for_applied(session, responses)
     return ExitStatus.OK
 
 
-async def _preview(session: Session, item: dict[str, Any]) -> None:
-    await _take_revision(session, item)
-    answer = await session.client.call(
-        'POST', f'{ROOT}/{item["kind"].lower()}s?dry_run=1', item
+async def _preview(session: Session, resource: dict[str, Any]) -> None:
+    await _set_current_revision(session, resource)
+    response = await session.client.call(
+        'POST', f'{ROOT}/{resource["kind"].lower()}s?dry_run=1', resource
     )
-    verbs = {True: 'would be changed', False: 'is as wanted'}
-    outcome = verbs[answer['changed']]
-    if answer['current'] is None:
+    outcomes = {True: 'would be changed', False: 'is as wanted'}
+    outcome = outcomes[response['changed']]
+    if response['current'] is None:
         outcome = 'would be created'
-    session.say(f'{item["kind"]} {name_resource(item)}: {outcome}')
-    for change in answer['changes']:
+    session.print(f'{resource["kind"]} {name_resource(resource)}: {outcome}')
+    for change in response['changes']:
         for sign, side in (('-', 'current'), ('+', 'wanted')):
             if change[side] is not None:
-                session.say(f'  {sign} {change["field"]}: {change[side]}')
+                session.print(f'  {sign} {change["field"]}: {change[side]}')
 
 
-async def _apply_one(session: Session, item: dict[str, Any]) -> Any:
-    await _take_revision(session, item)
-    answer = await session.client.command(
-        'POST', f'{ROOT}/{item["kind"].lower()}s', item
+async def _apply_one(session: Session, resource: dict[str, Any]) -> Any:
+    await _set_current_revision(session, resource)
+    response = await session.client.command(
+        'POST', f'{ROOT}/{resource["kind"].lower()}s', resource
     )
-    outcome = 'accepted' if answer['changed'] else 'unchanged'
-    session.say(f'{item["kind"]} {name_resource(item)}: {outcome}')
-    return answer
+    outcome = 'accepted' if response['changed'] else 'unchanged'
+    session.print(f'{resource["kind"]} {name_resource(resource)}: {outcome}')
+    return response
 
 
-async def _take_revision(session: Session, item: dict[str, Any]) -> None:
-    """Takes the revision that is in force, where the file gives none.
+async def _set_current_revision(
+    session: Session, resource: dict[str, Any]
+) -> None:
+    """Fills in the current revision if the file gives none.
 
-    A file with a revision is refused if somebody changed the resource since.
+    If the file gives a revision, the daemon refuses the change when the
+    resource has changed since that revision.
     """
-    if item['kind'] == 'Job' or item['metadata'].get('revision'):
+    if resource['kind'] == 'Job' or resource['metadata'].get('revision'):
         return
-    found = await session.find(item['kind'], name_resource(item))
+    found = await session.find(resource['kind'], name_resource(resource))
     if found is not None:
         revision = found['metadata']['revision']
-        item['metadata']['revision'] = revision
+        resource['metadata']['revision'] = revision
 
 
 async def cancel(session: Session) -> ExitStatus:
     """Cancels jobs."""
     names = session.options.names
     for name in names:
-        answer = await session.client.command(
+        response = await session.client.command(
             'POST', f'{make_path("jobs", name)}/cancel'
         )
-        outcome = 'cancelling' if answer['changed'] else 'is over already'
-        session.say(f'Job {name}: {outcome}')
+        outcome = 'cancelling' if response['changed'] else 'is over already'
+        session.print(f'Job {name}: {outcome}')
     if session.options.wait:
         await waits.wait_for_jobs(session, names)
     return ExitStatus.OK
 
 
 async def cordon(session: Session) -> ExitStatus:
-    """Gives workers no new work."""
-    return await _set_workers(session, {'cordoned': True}, 'cordoned')
+    """Stops the placement of new tasks on workers."""
+    return await _update_worker_specs(session, {'cordoned': True}, 'cordoned')
 
 
 async def uncordon(session: Session) -> ExitStatus:
-    """Gives workers new work again."""
+    """Allows the placement of new tasks on workers again."""
     spec = {'cordoned': False, 'drain': False}
-    return await _set_workers(session, spec, 'takes new work')
+    return await _update_worker_specs(session, spec, 'takes new work')
 
 
 async def drain(session: Session) -> ExitStatus:
-    """Moves work of workers elsewhere, or requests of upstreams."""
+    """Moves tasks off workers, or requests off upstreams."""
     if session.options.kind == 'upstream':
         for name in session.options.names:
-            await _set_spec(session, 'Upstream', name, {'drain': True})
-            session.say(f'Upstream {name}: gets no new request')
+            await _update_spec(session, 'Upstream', name, {'drain': True})
+            session.print(f'Upstream {name}: gets no new request')
         return ExitStatus.OK
     spec = {'cordoned': True, 'drain': True}
-    await _set_workers(session, spec, 'draining')
+    await _update_worker_specs(session, spec, 'draining')
     if session.options.wait:
         return await waits.wait_for_empty(session, session.options.names)
     return ExitStatus.OK
 
 
-async def _set_workers(
+async def _update_worker_specs(
     session: Session, spec: dict[str, bool], outcome: str
 ) -> ExitStatus:
     for name in session.options.names:
-        await _set_spec(session, 'Worker', name, spec)
-        session.say(f'Worker {name}: {outcome}')
+        await _update_spec(session, 'Worker', name, spec)
+        session.print(f'Worker {name}: {outcome}')
     return ExitStatus.OK
 
 
-async def _set_spec(
+async def _update_spec(
     session: Session, kind: str, name: str, spec: dict[str, bool]
 ) -> None:
     found = await session.client.call('GET', make_path(kind, name))
@@ -138,5 +141,5 @@
     found = await session.client.call('GET', path)
     revision = session.options.revision or found['metadata']['revision']
     await session.client.command('DELETE', f'{path}?revision={revision}')
-    session.say(f'{found["kind"]} {name}: deleted')
+    session.print(f'{found["kind"]} {name}: deleted')
     return ExitStatus.OK
--- a/lentilmount/cli/client.py
+++ b/lentilmount/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to the resource API."""
+"""HTTP client of the resource API."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 NO_TEAM = '-'
 
 COMMAND_ATTEMPTS = 4
-FIRST_PAUSE_SECONDS = 0.2
+INITIAL_RETRY_DELAY_SECONDS = 0.2
 
-_EXTRA = frozenset({'given_revision', 'current_revision', 'request'})
+_EXTRA_KEYS = frozenset({'given_revision', 'current_revision', 'request'})
 
 
 def make_path(kind: str, name: str) -> str:
-    """Returns the route of a resource named as team/name, or name alone."""
+    """Returns the URL path of a resource, given as team/name or name alone."""
     team, _, last = name.rpartition('/')
     return f'{ROOT}/{kind.lower()}/{team or NO_TEAM}/{last}'
 
@@ -42,25 +42,27 @@
     """Sends commands and queries to one daemon.
 
     Args:
-      server: Scheme, host and port of its resource API.
+      server: Scheme, host and port of the daemon's resource API.
       token: Bearer token.
-      authority: PEM file of the authority to trust; the system's if empty.
+      authority: PEM file of the certificate authority to trust; if empty,
+        the system's authorities are trusted.
     """
 
     def __init__(self, server: str, token: str, authority: str = ''):
         self._server = server
         self._headers = {'Authorization': f'Bearer {token}'}
         self._authority = authority or None
-        self._caller = HttpClient(server, CALL_SECONDS, ca_file=authority)
-        self._streams = CurlAsyncHTTPClient(force_instance=True)
+        self._http_client = HttpClient(server, CALL_SECONDS, ca_file=authority)
+        self._stream_client = CurlAsyncHTTPClient(force_instance=True)
 
     async def call(
         self, method: str, path: str, value: Any = None, request_id: str = ''
     ) -> Any:
-        """Sends one request and returns the answer's JSON.
+        """Sends one request and returns the JSON of the response.
 
         Raises:
-          LentilmountError: Of the kind that the daemon told.
+          LentilmountError: Of the kind given in the error response, or of
+            kind NOT_READY if the daemon does not answer.
         """
         headers = dict(self._headers)
         if request_id:
@@ -68,73 +70,74 @@
         body = None if value is None else json.dumps(value).encode()
         if method == 'POST' and body is None:
             body = b''
-        answer = await self._caller.call(method, path, body, headers)
+        answer = await self._http_client.call(method, path, body, headers)
         if answer.status == CURL_ERROR:
-            raise self._make_silence()
+            raise self._make_unreachable_error()
         if answer.status >= 400:
-            raise _read_problem(answer.status, answer.body)
+            raise _parse_error(answer.status, answer.body)
         return json.loads(answer.body)
 
     async def read(self, path: str, **query: Any) -> Any:
-        """Sends a query; see `call`."""
-        wanted = {name: value for name, value in query.items() if value}
-        return await self.call('GET', f'{path}?{urlencode(wanted)}')
+        """Sends a GET request, without empty query parameters; see `call`."""
+        parameters = {name: value for name, value in query.items() if value}
+        return await self.call('GET', f'{path}?{urlencode(parameters)}')
 
     async def command(self, method: str, path: str, value: Any = None) -> Any:
-        """Sends a command, again while the daemon cannot tell its outcome.
+        """Sends a command and retries it after errors that allow a retry.
 
-        All tries carry one request id, so the command is one change however
-        many of them took effect.
+        All attempts carry the same request id, so the daemon applies the
+        change once, however many attempts reach it.
         """
         request_id = uuid.uuid4().hex
-        pause = FIRST_PAUSE_SECONDS
+        delay = INITIAL_RETRY_DELAY_SECONDS
         for _ in range(COMMAND_ATTEMPTS - 1):
             try:
                 return await self.call(method, path, value, request_id)
             except LentilmountError as error:
                 if not error.answer.retry:
                     raise
-            await asyncio.sleep(pause)
-            pause *= 2
+            await asyncio.sleep(delay)
+            delay *= 2
         return await self.call(method, path, value, request_id)
 
     async def stream(self, path: str, **query: Any) -> AsyncIterator[Any]:
-        """Yields the JSON of each line of an answer that goes on.
+        """Yields the JSON value of each line of a streamed response.
 
         Raises:
-          LentilmountError: Of the kind that the daemon told.
+          LentilmountError: Of the kind given in the error response, or of
+            kind NOT_READY if the daemon does not answer.
         """
-        pieces: asyncio.Queue[bytes | None] = asyncio.Queue()
-        wanted = {name: value for name, value in query.items() if value}
+        chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
+        parameters = {name: value for name, value in query.items() if value}
         fetch = asyncio.ensure_future(
-            self._streams.fetch(
+            self._stream_client.fetch(
                 HTTPRequest(
-                    f'{self._server}{path}?{urlencode(wanted)}',
+                    f'{self._server}{path}?{urlencode(parameters)}',
                     headers=self._headers,
                     connect_timeout=CONNECT_SECONDS,
                     request_timeout=0,
-                    streaming_callback=pieces.put_nowait,
+                    streaming_callback=chunks.put_nowait,
                     ca_certs=self._authority,
                 ),
                 raise_error=False,
             )
         )
-        fetch.add_done_callback(lambda _: pieces.put_nowait(None))
-        rest = b''
-        while (piece := await pieces.get()) is not None:
-            *lines, rest = (rest + piece).split(b'\n')
+        fetch.add_done_callback(lambda _: chunks.put_nowait(None))
+        remainder = b''
+        while (chunk := await chunks.get()) is not None:
+            *lines, remainder = (remainder + chunk).split(b'\n')
             for line in lines:
-                yield _read_line(line)
+                yield _parse_stream_line(line)
         try:
             answer = await fetch
         except CurlError as error:
-            raise self._make_silence() from error
+            raise self._make_unreachable_error() from error
         if answer.code == CURL_ERROR:
-            raise self._make_silence()
+            raise self._make_unreachable_error()
         if answer.code >= 400:
-            raise _read_problem(answer.code, rest)
+            raise _parse_error(answer.code, remainder)
 
-    def _make_silence(self) -> LentilmountError:
+    def _make_unreachable_error(self) -> LentilmountError:
         return LentilmountError(
             f'{self._server} does not answer; check --server, and --authority '
             f'if it is https',
@@ -143,19 +146,19 @@
 
     def close(self) -> None:
         """Closes the connections."""
-        self._caller.close()
-        self._streams.close()
+        self._http_client.close()
+        self._stream_client.close()
 
 
-def _read_line(line: bytes) -> Any:
+def _parse_stream_line(line: bytes) -> Any:
     value = json.loads(line)
     if 'error' in value:
         problem = json.dumps(value['error']).encode()
-        raise _read_problem(value['error']['status'], problem)
+        raise _parse_error(value['error']['status'], problem)
     return value
 
 
-def _read_problem(status: int, body: bytes) -> LentilmountError:
+def _parse_error(status: int, body: bytes) -> LentilmountError:
     try:
         problem = json.loads(body)
         kind = ErrorKind(problem['kind'])
@@ -171,5 +174,5 @@
         kind=kind,
         retry_after=problem.get('retry_after_seconds'),
         fields=structure(problem.get('fields', []), tuple[FieldProblem, ...]),
-        extra={name: problem[name] for name in _EXTRA if name in problem},
+        extra={name: problem[name] for name in _EXTRA_KEYS if name in problem},
     )
--- a/lentilmount/cli/definition.py
+++ b/lentilmount/cli/definition.py
@@ -1,4 +1,4 @@
-"""Every command and option of the tool."""
+"""Definition of the commands and options, and the argument parser."""
 
 from __future__ import annotations
 
@@ -36,7 +36,12 @@
 
 @attrs.frozen
 class Option:
-    """One option or argument: its names, and what argparse takes."""
+    """An option or positional argument, as passed to `add_argument`.
+
+    Attributes:
+      names: Flags of an option, or the name of a positional argument.
+      parameters: Keyword arguments of `add_argument`.
+    """
 
     names: tuple[str, ...]
     parameters: dict[str, Any]
@@ -52,13 +57,13 @@
 
 @attrs.frozen
 class Command:
-    """One command of the tool.
+    """A command of the tool.
 
     Attributes:
-      name: How it is called.
-      text: What it does.
-      example: A command line that works.
-      options: What it takes.
+      name: Name on the command line.
+      text: Help text.
+      example: Command line that the help shows as an example.
+      options: Its options and arguments.
     """
 
     name: str
@@ -254,22 +259,27 @@
 
 
 class Parser(argparse.ArgumentParser):
-    """A parser that writes to the streams it is given.
+    """An argument parser that writes to the streams of an environment.
 
     Attributes:
-      env: Where its messages go.
+      env: Environment with the output and error streams.
     """
 
     env: Environment
 
     def _print_message(self, message: str, file: Any = None) -> None:
         is_result = file in (None, sys.stdout)
-        wanted = self.env.stdout if is_result else self.env.stderr
-        print(message, end='', file=wanted)
+        stream = self.env.stdout if is_result else self.env.stderr
+        print(message, end='', file=stream)
 
 
 def make_parser(env: Environment) -> argparse.ArgumentParser:
-    """Builds the parser."""
+    """Builds the parser of the whole command line.
+
+    Args:
+      env: Its variables give the defaults of the global options; the parser
+        prints to its streams.
+    """
     parser = Parser(
         prog='lentilmount',
         description='Declares and follows services and jobs.',
@@ -280,25 +290,27 @@
     parser.add_argument(
         '--version', action='version', version=lentilmount.__version__
     )
-    _add_globals(parser, env)
+    _add_global_options(parser, env)
     commands: argparse._SubParsersAction[Parser] = parser.add_subparsers(
         dest='command', required=True, metavar='command', parser_class=Parser
     )
     for command in COMMANDS:
-        sub = commands.add_parser(
+        subparser = commands.add_parser(
             command.name,
             help=command.text,
             description=command.text.capitalize() + '.',
             epilog=f'example:\n  {command.example}',
             formatter_class=argparse.RawDescriptionHelpFormatter,
         )
-        sub.env = env
+        subparser.env = env
         for option in command.options:
-            sub.add_argument(*option.names, **option.parameters)
+            subparser.add_argument(*option.names, **option.parameters)
     return parser
 
 
-def _add_globals(parser: argparse.ArgumentParser, env: Environment) -> None:
+def _add_global_options(
+    parser: argparse.ArgumentParser, env: Environment
+) -> None:
     parser.add_argument(
         '--server',
         default=env.variables.get(SERVER_VARIABLE, DEFAULT_SERVER),
--- a/lentilmount/cli/files.py
+++ b/lentilmount/cli/files.py
@@ -1,4 +1,4 @@
-"""Resources in files: an object or a list, JSON with comments."""
+"""Reads resources from files: one object or a list, in JSON5."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 
 def read_resources(path: str, env: Environment) -> list[dict[str, Any]]:
-    """Reads and checks the resources of a file, or of the input for '-'.
+    """Reads and checks the resources of a file, or of stdin for '-'.
 
-    Everything is checked before the first resource is sent, so that a wrong
-    one does not leave half of a file applied.
+    All resources are checked before the first one is sent, so that an invalid
+    resource does not leave the file partly applied.
 
     Raises:
-      InvalidError: With every wrong field and its line; or the file cannot
-        be read, is not JSON, or names a resource twice.
+      InvalidError: A field is invalid, or a resource occurs twice (the error
+        lists every such field with its line); or the file cannot be read, is
+        empty or is not JSON5.
     """
     text = _read_text(path, env)
     try:
@@ -36,7 +37,7 @@
     items = value if isinstance(value, list) else [value]
     problems = [*_check_fields(items, isinstance(value, list))]
     if not problems:
-        problems = [*_find_twins(items)]
+        problems = [*_find_duplicates(items)]
     if not items:
         raise InvalidError(f'{path}: there is no resource in it')
     if problems:
@@ -63,14 +64,14 @@
         try:
             structure_resource(item)
         except InvalidError as error:
-            where = f'[{index}].' if is_list else ''
+            prefix = f'[{index}].' if is_list else ''
             for problem in error.fields:
-                field = (where + problem.field.lstrip('$')).rstrip('.') or '$'
+                field = (prefix + problem.field.lstrip('$')).rstrip('.') or '$'
                 problems.append(attrs.evolve(problem, field=field))
     return problems
 
 
-def _find_twins(items: list[dict[str, Any]]) -> list[FieldProblem]:
+def _find_duplicates(items: list[dict[str, Any]]) -> list[FieldProblem]:
     seen: dict[str, int] = {}
     problems = []
     for index, item in enumerate(items):
--- a/lentilmount/cli/lines.py
+++ b/lentilmount/cli/lines.py
@@ -1,4 +1,4 @@
-"""Events of the time line as rows, and as a Chrome trace."""
+"""Formats timeline events as table rows and as a Chrome trace."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 Event = dict[str, Any]
 
-_BEGINS = frozenset({'placed', 'resumed'})
-_ENDS = frozenset({'completed', 'failed', 'stopped', 'lost', 'cancelled'})
+_START_KINDS = frozenset({'placed', 'resumed'})
+_END_KINDS = frozenset({'completed', 'failed', 'stopped', 'lost', 'cancelled'})
 
 RUNS = 'attempts'
-"""The process of a trace in which each worker is a lane of its attempts."""
+"""Name of the trace process that holds the attempts, a lane per worker."""
 
 
 def make_event_row(event: Event) -> tuple[str, ...]:
-    """Builds an event's row of a table."""
+    """Returns the table row of an event."""
     millis = event['stamp']['millis']
     when = datetime.datetime.fromtimestamp(millis / 1000, datetime.UTC)
     return (
@@ -32,27 +32,27 @@
 
 
 def _get_micros(event: Event) -> int:
-    # The counter keeps the order of events within one millisecond.
+    # The counter orders events within one millisecond.
     stamp = event['stamp']
     return int(stamp['millis'] * 1000 + min(stamp['counter'], 999))
 
 
-class Lanes:
-    """Numbers for the processes and threads of a trace, which want numbers."""
+class TraceIds:
+    """Assigns the numeric process and thread ids that the format requires."""
 
     def __init__(self) -> None:
         self._numbers: dict[tuple[str, str], int] = {}
 
-    def find(self, process: str, thread: str) -> dict[str, int]:
-        """Returns the numbers of a lane."""
+    def find_ids(self, process: str, thread: str) -> dict[str, int]:
+        """Returns the `pid` and `tid` of a lane; assigns them on first use."""
         pid = self._numbers.setdefault((process, ''), len(self._numbers) + 1)
         tid = self._numbers.setdefault(
             (process, thread), len(self._numbers) + 1
         )
         return {'pid': pid, 'tid': tid}
 
-    def list_names(self) -> Iterator[dict[str, Any]]:
-        """Yields the entries that tell the lanes' names."""
+    def list_name_entries(self) -> Iterator[dict[str, Any]]:
+        """Yields the metadata entries that name the processes and threads."""
         for (process, thread), tid in self._numbers.items():
             name = 'thread_name' if thread else 'process_name'
             pid = self._numbers[process, '']
@@ -66,29 +66,30 @@
 
 
 def make_trace(events: Sequence[Event]) -> dict[str, Any]:
-    """Builds a Chrome trace of events in order.
+    """Builds a Chrome trace of events, which must be in order of time.
 
-    Each daemon is a process with a lane for each worker that its events name,
-    and one for each of its parts; the attempts of tasks are spans in a process
-    of their own, with a lane for each worker.
+    Each daemon is a process of the trace. Its lanes (threads) are the workers
+    that its events name and, for events without a worker, its parts.
+    Attempts of tasks are spans in a separate process with a lane for each
+    worker.
 
-    Source of the form: "Trace Event Format", the Chromium project.
+    Source of the format: "Trace Event Format", the Chromium project.
     """
-    lanes = Lanes()
-    entries = [_make_entry(event, lanes) for event in events]
-    entries += _make_runs(events, lanes)
+    ids = TraceIds()
+    entries = [_make_entry(event, ids) for event in events]
+    entries += _make_attempt_entries(events, ids)
     return {
         'displayTimeUnit': 'ms',
-        'traceEvents': [*lanes.list_names(), *entries],
+        'traceEvents': [*ids.list_name_entries(), *entries],
     }
 
 
-def _make_entry(event: Event, lanes: Lanes) -> dict[str, Any]:
-    lane = lanes.find(event['daemon'], event['worker'] or event['part'])
+def _make_entry(event: Event, ids: TraceIds) -> dict[str, Any]:
+    lane_ids = ids.find_ids(event['daemon'], event['worker'] or event['part'])
     entry: dict[str, Any] = {
         'name': event['kind'],
         'cat': event['part'],
-        **lane,
+        **lane_ids,
         'ts': _get_micros(event),
         'args': {
             name: event[name]
@@ -98,36 +99,36 @@
     }
     if not event['seconds']:
         return {**entry, 'ph': 'i', 's': 't'}
-    # An event is recorded when what it tells is over.
+    # An event with a duration is recorded at its end.
     micros = int(event['seconds'] * 1_000_000)
     return {**entry, 'ph': 'X', 'ts': entry['ts'] - micros, 'dur': micros}
 
 
-def _make_runs(
-    events: Sequence[Event], lanes: Lanes
+def _make_attempt_entries(
+    events: Sequence[Event], ids: TraceIds
 ) -> Iterator[dict[str, Any]]:
-    open_runs: dict[tuple[str, int], Event] = {}
+    open_attempts: dict[tuple[str, int], Event] = {}
     for event in events:
-        run = (event['resource'], event['attempt'])
-        if event['kind'] in _BEGINS:
-            open_runs[run] = event
-        elif event['kind'] in _ENDS and run in open_runs:
-            begin = open_runs.pop(run)
-            yield _make_run(begin, event, event['kind'], lanes)
-    for begin in open_runs.values():
-        yield _make_run(begin, events[-1], 'still running', lanes)
-
-
-def _make_run(
-    begin: Event, end: Event, how: str, lanes: Lanes
+        attempt = (event['resource'], event['attempt'])
+        if event['kind'] in _START_KINDS:
+            open_attempts[attempt] = event
+        elif event['kind'] in _END_KINDS and attempt in open_attempts:
+            start_event = open_attempts.pop(attempt)
+            yield _make_attempt_entry(start_event, event, event['kind'], ids)
+    for start_event in open_attempts.values():
+        yield _make_attempt_entry(start_event, events[-1], 'still running', ids)
+
+
+def _make_attempt_entry(
+    start_event: Event, end_event: Event, outcome: str, ids: TraceIds
 ) -> dict[str, Any]:
-    start = _get_micros(begin)
+    start = _get_micros(start_event)
     return {
-        'name': f'{begin["resource"]}#{begin["attempt"]}',
+        'name': f'{start_event["resource"]}#{start_event["attempt"]}',
         'cat': RUNS,
         'ph': 'X',
-        **lanes.find(RUNS, begin['worker']),
+        **ids.find_ids(RUNS, start_event['worker']),
         'ts': start,
-        'dur': max(1, _get_micros(end) - start),
-        'args': {'ended': how},
+        'dur': max(1, _get_micros(end_event) - start),
+        'args': {'ended': outcome},
     }
--- a/lentilmount/cli/output.py
+++ b/lentilmount/cli/output.py
@@ -1,4 +1,4 @@
-"""How results are shown."""
+"""Writes results as tables, JSON or text."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 HEADER = ('KIND', 'NAME', 'REVISION', 'PHASE', 'ATTEMPT', 'WORKER', 'REASON')
 EVENT_HEADER = ('EVENT', *HEADER)
-LINE_HEADER = (
+TIMELINE_HEADER = (
     *('TIME', 'DAEMON', 'PART', 'EVENT', 'RESOURCE'),
     *('ATTEMPT', 'WORKER', 'CAUSE'),
 )
@@ -32,7 +32,7 @@
 
 
 def write_json(value: Any, stream: TextIO) -> None:
-    """Writes a value as readable JSON."""
+    """Writes a value as indented JSON."""
     print(json.dumps(value, indent=2, ensure_ascii=False), file=stream)
 
 
@@ -43,14 +43,14 @@
     output: str,
     env: Environment,
 ) -> None:
-    """Writes items in the form asked for.
+    """Writes items in the requested format.
 
     Args:
-      items: What is written as JSON.
-      header: The table's columns.
-      rows: The table's rows.
-      output: table, json or jsonl.
-      env: Where it goes.
+      items: Values written as JSON.
+      header: Column titles of the table.
+      rows: Rows of the table.
+      output: Format: table, json or jsonl.
+      env: Environment whose output stream is written to.
     """
     if output == 'json':
         write_json(items, env.stdout)
@@ -62,26 +62,29 @@
 
 
 def write_line(item: Any, stream: TextIO) -> None:
-    """Writes one line of JSON at once."""
+    """Writes an item as one line of JSON and flushes the stream."""
     print(json.dumps(item, ensure_ascii=False), file=stream, flush=True)
 
 
 def write_resources(
     items: Sequence[dict[str, Any]], output: str, env: Environment
 ) -> None:
-    """Writes resources in the form asked for."""
+    """Writes resources in the requested format."""
     rows = (make_row(item) for item in items)
     write_items(items, HEADER, rows, output, env)
 
 
 def name_resource(item: dict[str, Any]) -> str:
-    """Returns a resource's name as people give it: team/name, or name."""
+    """Returns the name of a resource as used on the command line.
+
+    This is team/name, or the name alone for kinds without a team.
+    """
     metadata = item['metadata']
     return f'{metadata.get("team", "")}/{metadata["name"]}'.lstrip('/')
 
 
 def make_row(item: dict[str, Any]) -> tuple[str, ...]:
-    """Builds a resource's row of a table."""
+    """Returns the table row of a resource."""
     status = item.get('status', {})
     return (
         item['kind'],
@@ -101,18 +104,18 @@
     *,
     colour: bool = False,
 ) -> None:
-    """Writes aligned columns, with words of state in colour if wanted."""
+    """Writes aligned columns, optionally with states in colour."""
     lines = [header, *rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = (
-            _paint(cell, cell.ljust(width), colour)
+            _colour_cell(cell, cell.ljust(width), colour)
             for cell, width in zip(line, widths, strict=True)
         )
         print('  '.join(cells).rstrip(), file=stream)
 
 
-def _paint(cell: str, padded: str, colour: bool) -> str:
+def _colour_cell(cell: str, padded: str, colour: bool) -> str:
     code = _COLOURS.get(cell) if colour else None
     return f'\x1b[{code}m{padded}\x1b[0m' if code else padded
 
@@ -120,7 +123,7 @@
 def write_description(
     item: dict[str, Any], events: Iterable[Sequence[str]], stream: TextIO
 ) -> None:
-    """Writes everything of one resource for people to read."""
+    """Writes all fields of a resource, and its events, as text."""
     print(f'{item["kind"]} {name_resource(item)}', file=stream)
     for part in ('metadata', 'spec', 'status'):
         print(f'{part}:', file=stream)
@@ -129,7 +132,7 @@
     rows = list(events)
     if rows:
         print('events:', file=stream)
-        write_table(LINE_HEADER, rows, stream)
+        write_table(TIMELINE_HEADER, rows, stream)
 
 
 def _write_field(name: str, value: Any, stream: TextIO) -> None:
@@ -141,14 +144,14 @@
 
 
 class Progress:
-    """Tells on the error stream how a wait goes on, when that changes."""
+    """Prints the progress of a wait to the error stream."""
 
     def __init__(self, env: Environment):
         self._stream = env.stderr
         self._last = ''
 
     def show(self, text: str) -> None:
-        """Shows a line, unless it is the one shown last."""
+        """Prints a line, unless it repeats the previous one."""
         if text != self._last:
             print(text, file=self._stream, flush=True)
         self._last = text
--- a/lentilmount/cli/reads.py
+++ b/lentilmount/cli/reads.py
@@ -1,4 +1,4 @@
-"""Commands that show something once."""
+"""Commands that show the current state once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lentilmount.cli.session import Session
 from lentilmount.status import ExitStatus
 
-DESCRIBED_EVENTS = 20
+DESCRIBE_EVENT_LIMIT = 20
 YES_NO = {True: 'yes', False: 'no'}
 
 
@@ -33,19 +33,19 @@
     path = make_path(session.options.kind, session.options.name)
     item = await session.client.call('GET', path)
     metadata = item['metadata']
-    line = await session.client.read(
+    page = await session.client.read(
         f'{ROOT}/timeline',
         resource=f'{item["kind"]}/{metadata["team"]}/{metadata["name"]}',
-        limit=DESCRIBED_EVENTS,
+        limit=DESCRIBE_EVENT_LIMIT,
     )
-    events = line['events'][-DESCRIBED_EVENTS:]
+    events = page['events'][-DESCRIBE_EVENT_LIMIT:]
     rows = [make_event_row(event) for event in events]
     write_description(item, rows, session.env.stdout)
     return ExitStatus.OK
 
 
 async def show_list(session: Session) -> ExitStatus:
-    """Lists resources, page by page."""
+    """Lists resources, fetched page by page."""
     options = session.options
     items: list[dict[str, Any]] = []
     after = ''
@@ -67,13 +67,16 @@
 
 
 async def status(session: Session) -> ExitStatus:
-    """Shows every daemon; fails unless all answer and are ready."""
-    answer = await session.client.call('GET', f'{ROOT}/daemons')
-    silent = [
+    """Shows the state of every daemon.
+
+    The exit status is UNAVAILABLE unless all daemons answer and are ready.
+    """
+    response = await session.client.call('GET', f'{ROOT}/daemons')
+    unreachable = [
         {'daemon': name, 'ready': False, 'fault': 'does not answer'}
-        for name in answer['unreachable']
+        for name in response['unreachable']
     ]
-    daemons = [*answer['daemons'], *silent]
+    daemons = [*response['daemons'], *unreachable]
     rows = [_make_daemon_row(daemon) for daemon in daemons]
     output = session.options.output
     write_items(daemons, DAEMON_HEADER, rows, output, session.env)
--- a/lentilmount/cli/report.py
+++ b/lentilmount/cli/report.py
@@ -1,7 +1,8 @@
-"""What became of the jobs of each queue, from log lines alone.
+"""Summarizes the jobs of each queue from the log lines of daemons.
 
-After a bad hour, on call asks which queue suffered and for what reason:
-refusals, waiting for a first start, runs that ended early, or lateness.
+After an incident, the on-call engineer needs to find out which queue was
+affected and why: refused requests, a long wait for the first start, runs that
+ended early, or late jobs.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from lentilmount.status import ExitStatus
 
 UNKNOWN_QUEUE = '-'
-"""For refusals, whose lines tell no queue, and for jobs accepted before the
-logs begin."""
+"""Used for refusals, whose log lines name no queue, and for jobs accepted
+before the logs begin."""
 
 HEADER = (
     'QUEUE',
@@ -39,22 +40,25 @@
     'ENDED-BAD',
 )
 
-DAMAGED = ('failed', 'lapsed', 'broken', 'alone')
-"""How runs end that are not done and were not stopped by an order."""
+FAILED_RUN_ENDS = ('failed', 'lapsed', 'broken', 'alone')
+"""Results of runs that ended unfinished without a stop command."""
 
 
 @attrs.define
 class QueueReport:
-    """What the logs tell of one queue.
+    """Summary of the jobs of one queue.
 
     Attributes:
-      queue: Its name.
-      accepted: Jobs accepted.
-      refused: Requests refused, by kind of error.
-      first_starts: Seconds from acceptance to the first start, a job each.
-      ended: Jobs that ended, by state; `late` of those completed.
-      stopped: Runs stopped by an order, by its reason.
-      ended_badly: Runs that ended by themselves and not done, by how.
+      queue: Name of the queue.
+      accepted: Number of accepted jobs.
+      refused: Number of refused requests, by kind of error.
+      first_starts: Time from acceptance to the first start of each job, in
+        seconds.
+      ended: Number of ended jobs, by final state; `late` counts those of the
+        completed jobs that missed their objective.
+      stopped: Number of runs stopped by a command, by its reason.
+      ended_badly: Number of runs that ended unfinished without a stop
+        command, by result.
     """
 
     queue: str
@@ -67,25 +71,29 @@
 
     @property
     def open(self) -> int:
-        """Jobs of which no line tells the end."""
+        """Number of accepted jobs whose end is not in the logs."""
         ended = self.ended.total() - self.ended['late']
         return max(0, self.accepted - ended)
 
-    def find_quantile(self, part: int) -> float | None:
-        """Returns a twentieth of the seconds to the first start.
+    def find_quantile(self, twentieth: int) -> float | None:
+        """Returns a quantile of the time to the first start, in seconds.
 
         Args:
-          part: Which: 10 for the median, 19 for 95 of 100.
+          twentieth: Quantile in twentieths: 10 is the median, 19 the 95th
+            percentile.
+
+        Returns:
+          The quantile, or None if no job has started.
         """
         if len(self.first_starts) < 2:
             return self.first_starts[0] if self.first_starts else None
         twentieths = statistics.quantiles(
             self.first_starts, n=20, method='inclusive'
         )
-        return round(twentieths[part - 1], 3)
+        return round(twentieths[twentieth - 1], 3)
 
     def make_document(self) -> dict[str, Any]:
-        """Returns everything as JSON takes it."""
+        """Returns the summary as a JSON object."""
         return {
             'queue': self.queue,
             'accepted': self.accepted,
@@ -99,9 +107,9 @@
         }
 
     def make_row(self) -> tuple[str, ...]:
-        """Returns the row of a table; what is unknown is left empty."""
+        """Returns the table row; unknown quantiles are empty."""
         quantiles = (self.find_quantile(10), self.find_quantile(19))
-        first = ('' if q is None else f'{q:.3f}' for q in quantiles)
+        first_cells = ('' if q is None else f'{q:.3f}' for q in quantiles)
         in_time = self.ended['completed'] - self.ended['late']
         counts = (
             in_time,
@@ -116,102 +124,103 @@
             self.queue,
             str(self.accepted),
             str(self.refused.total()),
-            *first,
+            *first_cells,
             *map(str, counts),
         )
 
 
-class Reporter:
-    """Makes reports of lines in the order of their times."""
+class ReportBuilder:
+    """Builds the reports from log lines, added in order of their times."""
 
     def __init__(self) -> None:
         self._reports: dict[str, QueueReport] = {}
-        self._queues: dict[str, str] = {}
+        self._queue_by_job: dict[str, str] = {}
         self._accepted_at: dict[str, datetime.datetime] = {}
-        self._started: set[str] = set()
-        self._ended: set[str] = set()
+        self._started_jobs: set[str] = set()
+        self._ended_jobs: set[str] = set()
 
-    def _find(self, queue: str) -> QueueReport:
+    def _get_report(self, queue: str) -> QueueReport:
         return self._reports.setdefault(queue, QueueReport(queue))
 
-    def _find_of(self, job: str) -> QueueReport:
-        return self._find(self._queues.get(job, UNKNOWN_QUEUE))
+    def _get_job_report(self, job: str) -> QueueReport:
+        return self._get_report(self._queue_by_job.get(job, UNKNOWN_QUEUE))
 
-    def take(self, line: dict[str, Any]) -> None:
-        """Takes in a line; most tell nothing here."""
+    def add_line(self, line: dict[str, Any]) -> None:
+        """Updates the reports from a log line; ignores unrelated lines."""
         message = str(line.get('message', ''))
-        take = _TAKERS.get(message.partition(' ')[0].rstrip(':.'))
-        if take is not None:
-            take(self, line, message)
+        handle = _HANDLERS.get(message.partition(' ')[0].rstrip(':.'))
+        if handle is not None:
+            handle(self, line, message)
 
-    def _take_accepted(self, line: dict[str, Any], _: str) -> None:
+    def _handle_accepted(self, line: dict[str, Any], _: str) -> None:
         job, queue = line.get('job'), line.get('queue')
-        if not job or not queue or job in self._queues:
+        if not job or not queue or job in self._queue_by_job:
             return
-        self._queues[job] = queue
+        self._queue_by_job[job] = queue
         self._accepted_at[job] = _parse_time(line)
-        self._find(queue).accepted += 1
+        self._get_report(queue).accepted += 1
 
-    def _take_refused(self, line: dict[str, Any], _: str) -> None:
+    def _handle_refused(self, line: dict[str, Any], _: str) -> None:
         kind = str(line.get('kind', ''))
-        self._find(UNKNOWN_QUEUE).refused[kind] += 1
+        self._get_report(UNKNOWN_QUEUE).refused[kind] += 1
 
-    def _take_starts(self, line: dict[str, Any], _: str) -> None:
+    def _handle_starts(self, line: dict[str, Any], _: str) -> None:
         tasks = [start[0] for start in line.get('starts', ())]
-        # Daemons of an earlier version write a line for each task.
+        # Daemons of earlier versions log each start in a line of its own.
         for task in tasks or [line.get('task', '')]:
-            self._take_start(line, str(task).partition('.')[0])
+            self._record_start(line, str(task).partition('.')[0])
 
-    def _take_start(self, line: dict[str, Any], job: str) -> None:
-        if job in self._started or job not in self._accepted_at:
+    def _record_start(self, line: dict[str, Any], job: str) -> None:
+        if job in self._started_jobs or job not in self._accepted_at:
             return
-        self._started.add(job)
+        self._started_jobs.add(job)
         waited = _parse_time(line) - self._accepted_at[job]
-        # The clocks of two hosts may differ by more than a start takes.
+        # The clocks of two hosts may differ by more than the time to a start.
         seconds = max(0.0, waited.total_seconds())
-        self._find_of(job).first_starts.append(seconds)
+        self._get_job_report(job).first_starts.append(seconds)
 
-    def _take_stop(self, line: dict[str, Any], message: str) -> None:
+    def _handle_stop(self, line: dict[str, Any], message: str) -> None:
         if 'task' in line:
             reason = message.partition(': ')[2].rstrip('.')
-            self._find_of(_get_job(line)).stopped[reason] += 1
+            self._get_job_report(_get_job_name(line)).stopped[reason] += 1
 
-    def _take_end(self, line: dict[str, Any], message: str) -> None:
-        how = message.partition(': ')[2].rstrip('.')
-        if how in DAMAGED:
-            self._find_of(_get_job(line)).ended_badly[how] += 1
+    def _handle_run_end(self, line: dict[str, Any], message: str) -> None:
+        result = message.partition(': ')[2].rstrip('.')
+        if result in FAILED_RUN_ENDS:
+            self._get_job_report(_get_job_name(line)).ended_badly[result] += 1
 
-    def _take_job(self, line: dict[str, Any], message: str) -> None:
+    def _handle_job_end(self, line: dict[str, Any], message: str) -> None:
         job, took = line.get('job', ''), line.get('took')
-        if took is None or job in self._ended:
+        if took is None or job in self._ended_jobs:
             return
-        # An owner that is replaced before its row is written may tell it too.
-        self._ended.add(job)
+        # The end may be logged twice: by an owner that is replaced before it
+        # has written the row, and by its successor.
+        self._ended_jobs.add(job)
         state = message.rpartition(' ')[2].rstrip('.')
-        report = self._find(line.get('queue', UNKNOWN_QUEUE))
+        report = self._get_report(line.get('queue', UNKNOWN_QUEUE))
         report.ended[state] += 1
         objective = line.get('objective')
         is_late = objective is not None and took > objective
         if state == 'completed' and is_late:
             report.ended['late'] += 1
 
-    def list_all(self) -> list[QueueReport]:
-        """Lists the reports, by queue."""
+    def list_reports(self) -> list[QueueReport]:
+        """Returns the reports, sorted by queue."""
         return [self._reports[name] for name in sorted(self._reports)]
 
 
-_TAKERS = {
-    'Accepted': Reporter._take_accepted,
-    'Refused': Reporter._take_refused,
-    'Starting': Reporter._take_starts,
-    'Stopping': Reporter._take_stop,
-    'Ended': Reporter._take_end,
-    'Job': Reporter._take_job,
+_HANDLERS = {
+    'Accepted': ReportBuilder._handle_accepted,
+    'Refused': ReportBuilder._handle_refused,
+    'Starting': ReportBuilder._handle_starts,
+    'Stopping': ReportBuilder._handle_stop,
+    'Ended': ReportBuilder._handle_run_end,
+    'Job': ReportBuilder._handle_job_end,
 }
-"""What is done with a line, by the first word of its message."""
+"""Handlers of log lines, by the first word of the message."""
 
 
-def _get_job(line: dict[str, Any]) -> str:
+def _get_job_name(line: dict[str, Any]) -> str:
     return str(line.get('task', '')).partition('.')[0]
 
 
@@ -227,13 +236,16 @@
     return True
 
 
-def make_reports(lines: Iterable[dict[str, Any]]) -> list[QueueReport]:
-    """Makes the reports of log lines of any number of daemons."""
-    reporter = Reporter()
+def build_reports(lines: Iterable[dict[str, Any]]) -> list[QueueReport]:
+    """Builds the reports from the log lines of any number of daemons.
+
+    Lines without a valid time are ignored.
+    """
+    builder = ReportBuilder()
     timed = (line for line in lines if _has_time(line))
     for line in sorted(timed, key=lambda line: str(line['time'])):
-        reporter.take(line)
-    return reporter.list_all()
+        builder.add_line(line)
+    return builder.list_reports()
 
 
 def _read_all(names: Iterable[str]) -> Iterator[dict[str, Any]]:
@@ -242,8 +254,8 @@
 
 
 async def report(session: Session) -> ExitStatus:
-    """Shows what became of the jobs of each queue."""
-    reports = make_reports(_read_all(session.options.files))
+    """Shows a summary of the jobs of each queue."""
+    reports = build_reports(_read_all(session.options.files))
     if not reports:
         raise NotFoundError('no line tells of a job or a request')
     write_items(
--- a/lentilmount/cli/session.py
+++ b/lentilmount/cli/session.py
@@ -1,4 +1,4 @@
-"""What a command works with."""
+"""Context of a command: API client, options and environment."""
 
 from __future__ import annotations
 
@@ -14,18 +14,24 @@
 
 @attrs.frozen
 class Session:
-    """One run of one command."""
+    """Everything that a command needs to run.
+
+    Attributes:
+      client: Client of the resource API.
+      options: Parsed command line.
+      env: Streams and environment variables.
+    """
 
     client: ApiClient
     options: argparse.Namespace
     env: Environment
 
-    def say(self, text: str) -> None:
-        """Writes a line of the result."""
+    def print(self, text: str) -> None:
+        """Prints a line of the result to the output stream."""
         print(text, file=self.env.stdout)
 
     async def find(self, kind: str, name: str) -> dict[str, Any] | None:
-        """Returns a resource, or None."""
+        """Returns a resource, or None if it does not exist."""
         try:
             found: dict[str, Any] = await self.client.call(
                 'GET', make_path(kind, name)
--- a/lentilmount/cli/traces.py
+++ b/lentilmount/cli/traces.py
@@ -1,4 +1,4 @@
-"""Commands on files: log lines of one id, settings and deploy files."""
+"""Commands on local files: logs, host settings and deploy files."""
 
 from __future__ import annotations
 
@@ -15,32 +15,36 @@
 from lentilmount.platform.host_settings import decode_host_settings
 from lentilmount.status import ExitStatus
 
-SHOWN_FIRST = ('time', 'level', 'part', 'message')
+PREFIX_KEYS = ('time', 'level', 'part', 'message')
 
 
 async def trace(session: Session) -> ExitStatus:
-    """Shows the log lines of all files that speak of an id, in order."""
+    """Shows the log lines that contain an id, from all files by time."""
     options = session.options
     found = sorted(
         (
             (str(line.get('time', '')), name, line)
             for name in options.files
             for line in read_lines(name)
-            if _speaks_of(line, options.id)
+            if _mentions(line, options.id)
         ),
         key=lambda entry: entry[:2],
     )
     if not found:
         raise NotFoundError(f'no line speaks of {options.id}')
     for _, name, line in found:
-        narrowed = _narrow(line, options.id)
-        text = _format(narrowed, pathlib.Path(name).stem)
+        filtered = _filter_lists(line, options.id)
+        text = _format(filtered, pathlib.Path(name).stem)
         print(text, file=session.env.stdout)
     return ExitStatus.OK
 
 
 def read_lines(name: str) -> Iterator[dict[str, Any]]:
-    """Reads the JSON objects in a file, whatever stands before them."""
+    """Yields the JSON object of each log line in a file.
+
+    Text before the object is skipped, and so are lines without a valid
+    object.
+    """
     for text in _read(name).splitlines():
         start = text.find('{')
         if start < 0:
@@ -48,7 +52,7 @@
         try:
             line = json.loads(text[start:])
         except ValueError:
-            # Output of something else, such as an interpreter's traceback.
+            # Not a log line; for example part of a traceback.
             continue
         if isinstance(line, dict):
             yield line
@@ -61,22 +65,22 @@
         raise InvalidError(f'{name} cannot be read: {error}') from error
 
 
-def _speaks_of(line: dict[str, Any], wanted: str) -> bool:
+def _mentions(line: dict[str, Any], wanted_id: str) -> bool:
     return any(
-        wanted in str(value)
+        wanted_id in str(value)
         for name, value in line.items()
-        if name not in SHOWN_FIRST
+        if name not in PREFIX_KEYS
     )
 
 
-def _narrow(line: dict[str, Any], wanted: str) -> dict[str, Any]:
-    """Leaves out entries of lists that do not speak of an id.
+def _filter_lists(line: dict[str, Any], wanted_id: str) -> dict[str, Any]:
+    """Drops the list entries that do not contain an id.
 
-    One line tells all starts of a pass, of many jobs.
+    One log line can list the starts of many jobs.
     """
     return {
-        key: [entry for entry in value if wanted in str(entry)]
-        if isinstance(value, list) and wanted in str(value)
+        key: [entry for entry in value if wanted_id in str(entry)]
+        if isinstance(value, list) and wanted_id in str(value)
         else value
         for key, value in line.items()
     }
@@ -86,7 +90,7 @@
     ids = ' '.join(
         f'{key}={value}'
         for key, value in line.items()
-        if key not in SHOWN_FIRST
+        if key not in PREFIX_KEYS
     )
     return (
         f'{line.get("time", "")} {name} {line.get("level", "")} '
@@ -95,18 +99,18 @@
 
 
 async def check(session: Session) -> ExitStatus:
-    """Checks a host's settings (YAML) or a deploy file (TOML)."""
+    """Checks a host settings file (YAML) or a deploy file (TOML)."""
     name = session.options.file
     text = _read(name)
     if name.endswith('.toml'):
-        _check_deploy(text)
+        _check_deploy_file(text)
     else:
-        _check_settings(text)
+        _check_host_settings(text)
     print(f'{name}: valid', file=session.env.stdout)
     return ExitStatus.OK
 
 
-def _check_settings(text: str) -> None:
+def _check_host_settings(text: str) -> None:
     try:
         document = yaml.safe_load(text)
     except yaml.YAMLError as error:
@@ -114,7 +118,7 @@
     decode_host_settings(document)
 
 
-def _check_deploy(text: str) -> None:
+def _check_deploy_file(text: str) -> None:
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
