--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool: what it shows, its exit statuses, its errors."""
+"""Tests of the command-line tool: output, exit statuses and errors."""
 
 from __future__ import annotations
 
@@ -51,33 +51,33 @@
     assert kept['spec']['replicas'] == 2
 
 
-def test_a_file_with_one_name_twice_is_refused_whole(site: Site) -> None:
+def test_file_with_a_duplicate_resource_is_refused_whole(site: Site) -> None:
     jobs = json.dumps([make_job('twin'), make_job('twin', payload='x')])
-    told = site.tool('apply', '-f', '-', stdin=jobs)
-    assert told.status is ExitStatus.INVALID
-    assert 'Job/desk/twin stands in the file twice' in told.err
+    result = site.tool('apply', '-f', '-', stdin=jobs)
+    assert result.status is ExitStatus.INVALID
+    assert 'Job/desk/twin stands in the file twice' in result.err
     assert site.tool('get', 'job', 'desk/twin').status == 4
 
 
-def test_wrong_fields_are_told_with_their_lines() -> None:
+def test_errors_of_wrong_fields_give_their_lines() -> None:
     text = """[
       // A comment.
       {"kind": "Job", "metadata": {"team": "desk", "name": "x"},
        "spec": {"demand": {"cores": -1, "memory_mb": "much"},
                 "colour": "red"}}
     ]"""
-    told = run_tool('validate', '-f', '-', stdin=text)
-    assert told.status is ExitStatus.INVALID
-    assert 'line 4, [0].spec.demand.cores: must be > 0: -1' in told.err
-    assert 'line 4, [0].spec.demand.memory_mb: must be a whole' in told.err
-    assert 'line 5, [0].spec.colour: is not a known field' in told.err
+    result = run_tool('validate', '-f', '-', stdin=text)
+    assert result.status is ExitStatus.INVALID
+    assert 'line 4, [0].spec.demand.cores: must be > 0: -1' in result.err
+    assert 'line 4, [0].spec.demand.memory_mb: must be a whole' in result.err
+    assert 'line 5, [0].spec.colour: is not a known field' in result.err
 
 
 @pytest.mark.parametrize('text', ['', '[]', '{"kind": ', '/* open', '[3]'])
 def test_broken_files_are_refused(text: str) -> None:
-    told = run_tool('validate', '-f', '-', stdin=text)
-    assert told.status is ExitStatus.INVALID
-    assert told.err.startswith('lentilmount: ')
+    result = run_tool('validate', '-f', '-', stdin=text)
+    assert result.status is ExitStatus.INVALID
+    assert result.err.startswith('lentilmount: ')
 
 
 def test_exit_statuses(site: Site) -> None:
@@ -87,9 +87,9 @@
     assert wrong.status is ExitStatus.FORBIDDEN
     assert 'send a known token' in wrong.err
     assert site.tool('frobnicate').status is ExitStatus.USAGE
-    unheard = run_tool('--server', 'http://127.0.0.1:9', 'status')
-    assert unheard.status is ExitStatus.UNAVAILABLE
-    assert 'check --server' in unheard.err
+    unreachable = run_tool('--server', 'http://127.0.0.1:9', 'status')
+    assert unreachable.status is ExitStatus.UNAVAILABLE
+    assert 'check --server' in unreachable.err
     late = site.tool(
         *('apply', '-f', '-', '--wait', '--timeout', '0.5'),
         stdin=json.dumps(make_job('slow', payload='{"seconds": 600}')),
@@ -103,7 +103,7 @@
     assert site.tool('get', 'job', 'desk/slow').status is ExitStatus.NOT_FOUND
 
 
-def test_status_tells_of_every_daemon(site: Site) -> None:
+def test_status_shows_every_daemon(site: Site) -> None:
     shown = site.tool('status', '--output', 'json')
     daemons = json.loads(shown.out)
     assert shown.status is ExitStatus.OK, shown
@@ -121,7 +121,7 @@
 
 
 class Terminal(io.StringIO):
-    """A stream that a person reads."""
+    """A stream that claims to be a terminal."""
 
     def isatty(self) -> bool:
         return True
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What became of a queue's jobs, told by log lines."""
+"""Tests of the summary of the jobs of each queue, built from log lines."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 def make_line(second: float, message: str, **fields: Any) -> str:
-    """Returns a log line as daemons write it."""
+    """Returns a log line in the format of the daemons."""
     stamp = f'2031-05-06T07:08:{second:09.6f}'
     return json.dumps({'time': stamp, 'message': message, **fields})
 
 
 def write_logs(folder: pathlib.Path) -> list[str]:
-    """Writes the logs of a daemon that accepts and of one that owns."""
-    front = [
+    """Writes the logs of an accepting daemon and of an owner daemon."""
+    accepting_lines = [
         make_line(1, 'Accepted.', job=LATE, queue='checks'),
         make_line(1, 'Accepted.', job=EARLY, queue='checks'),
         make_line(2, 'Accepted.', job=OPEN, queue='nightly'),
         make_line(3, 'Refused: the table does not answer.', kind='no-store'),
     ]
-    owner = [
+    owner_lines = [
         'Traceback (most recent call last):',
         make_line(
             1.1,
@@ -51,15 +51,15 @@
         ),
     ]
     names = []
-    for name, lines in (('front', front), ('owner', owner)):
+    for name, lines in (('front', accepting_lines), ('owner', owner_lines)):
         path = folder / f'{name}.log'
         path.write_text('\n'.join(lines), 'utf-8')
         names.append(str(path))
     return names
 
 
-def test_a_bad_hour_is_told_by_queue(tmp_path: pathlib.Path) -> None:
-    """The report did not tell which queue was late, and why."""
+def test_report_shows_late_jobs_by_queue(tmp_path: pathlib.Path) -> None:
+    """Guards against a report that hides which queue was late, and why."""
     status, out, _ = run_tool(
         'report', *write_logs(tmp_path), '--output', 'json'
     )
@@ -82,7 +82,7 @@
     assert rows == ['QUEUE', '-', 'checks', 'nightly']
 
 
-def test_files_without_jobs_are_told(tmp_path: pathlib.Path) -> None:
+def test_files_without_jobs_are_an_error(tmp_path: pathlib.Path) -> None:
     path = tmp_path / 'empty.log'
     path.write_text('nothing here', 'utf-8')
     status, _, errors = run_tool('report', str(path))
