--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,4 +1,4 @@
-"""What the policy is compared with: first fit, alone and with a threshold."""
+"""Baseline strategies for the policy: first fit and a threshold evictor."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class FirstFit:
-    """First come, first served, to the first worker with room; no learning."""
+    """Places tasks in order of arrival on the first worker they fit on."""
 
     def __init__(self, rows: MemorySlice, sessions: Mapping[str, MemoryLink]):
         self._rows = rows
         self._sessions = sessions
 
     def act(self, draft: Draft, now: float) -> None:
-        """Does what is due before placing: nothing."""
+        """See `policy.Strategy`; does nothing."""
 
     def place(self, draft: Draft) -> bool:
-        """Places what fits; returns whether the draft filled up."""
+        """See `policy.Strategy`."""
         blocked = set()
         for task in list(self._rows.tasks.values()):
             if task.phase is not Phase.PENDING or task.demand in blocked:
@@ -41,11 +41,11 @@
 
 
 class ThresholdEvictor(FirstFit):
-    """First fit that evicts whenever a service is too slow.
+    """First fit that evicts a job whenever a service is too slow.
 
-    It is told the service's time alone, which the policy has to learn. On
-    a measurement above the limit it evicts the job on that worker that takes
-    most processors, and then waits until a measurement can show the effect.
+    It is given the response time of the service alone, which the policy has to
+    learn. When a measurement exceeds the limit it evicts the job with the most
+    cores on that worker, and then waits until measurements show the effect.
     """
 
     LIMIT = 1.2
@@ -62,7 +62,7 @@
         self._evicted: dict[str, float] = {}
 
     def act(self, draft: Draft, now: float) -> None:
-        """Evicts where the last measurement is too high."""
+        """Evicts a job on each worker whose measurement exceeds the limit."""
         for name, session in self._sessions.items():
             if not session.usage:
                 continue
--- a/benchmarks/bound.py
+++ b/benchmarks/bound.py
@@ -1,9 +1,10 @@
-"""The most that any order of work could earn on a capacity, from above.
+"""Upper bound on the value that any schedule can earn with a given capacity.
 
-Work is taken as a fluid: it may be split at will, at any pace, on any worker,
-and a job earns in proportion to what is done of it in time. Each real plan is
-such a plan too, so none earns more. What can be done together is a matroid, in
-which taking the dearest work first, as far as it fits, is best.
+The bound relaxes the problem: work can be split arbitrarily over time and
+workers, and a job earns in proportion to the work done in time. Every real
+schedule is also a schedule of the relaxed problem, so none earns more. The
+sets of work that can be done together form a matroid, so the greedy order by
+value per unit of work is optimal.
 
 Source: Edmonds, "Matroids and the greedy algorithm", 1971.
 """
@@ -16,18 +17,18 @@
 import attrs
 
 BISECTIONS = 12
-"""Halvings of the amount of an item that is known not to fit whole."""
+"""Bisection steps for the share of an item that does not fit as a whole."""
 
 
 @attrs.frozen
 class Item:
-    """Work that earns if it is done in some of the windows.
+    """An amount of work that earns its value within a range of time windows.
 
     Attributes:
-      work: Core-seconds.
-      value: What all of it earns.
-      first: First window in which it may be done.
-      last: Last window in which it earns.
+      work: Amount of work in core-seconds.
+      value: Value earned by all of it.
+      first: Index of the first window in which it may be done.
+      last: Index of the last window in which it earns its value.
     """
 
     work: float
@@ -37,28 +38,29 @@
 
 
 def measure_bound(items: Iterable[Item], capacity: Sequence[float]) -> float:
-    """Returns the most that items can earn together.
+    """Returns an upper bound on the total value that items can earn.
 
     Args:
       items: All work.
-      capacity: Core-seconds of each window.
+      capacity: Capacity of each window in core-seconds.
     """
     earned = 0.0
     taken: list[Item] = []
     for item in sorted(items, key=lambda i: i.value / i.work, reverse=True):
-        fits, fits_not = _find_shares(item, taken, capacity)
-        if fits > 0:
-            taken.append(attrs.evolve(item, work=fits * item.work))
-        earned += fits_not * item.value
+        lower_share, upper_share = _find_shares(item, taken, capacity)
+        if lower_share > 0:
+            taken.append(attrs.evolve(item, work=lower_share * item.work))
+        earned += upper_share * item.value
     return earned
 
 
 def _find_shares(
     item: Item, taken: list[Item], capacity: Sequence[float]
 ) -> tuple[float, float]:
-    """Returns a share of an item that fits, and the least that may not.
+    """Returns a lower and an upper bound of the share of an item that fits.
 
-    The first is taken and the second is earned, so that the bound stays one.
+    The caller schedules the lower share but counts the value of the upper one,
+    so that the result remains an upper bound.
     """
     if _fits([*taken, item], capacity):
         return 1.0, 1.0
@@ -74,20 +76,20 @@
 
 
 def _fits(items: list[Item], capacity: Sequence[float]) -> bool:
-    """Tells whether all can be done; the earliest last window goes first."""
-    coming = sorted(items, key=lambda item: item.first, reverse=True)
+    """Returns whether all items can be done, earliest last window first."""
+    upcoming = sorted(items, key=lambda item: item.first, reverse=True)
     waiting: list[tuple[int, float]] = []
     for window, free in enumerate(capacity):
-        while coming and coming[-1].first <= window:
-            item = coming.pop()
+        while upcoming and upcoming[-1].first <= window:
+            item = upcoming.pop()
             heapq.heappush(waiting, (item.last, item.work))
-        left = free
-        while waiting and left > 0:
+        remaining = free
+        while waiting and remaining > 0:
             last, work = heapq.heappop(waiting)
-            done = min(work, left)
-            left -= done
+            done = min(work, remaining)
+            remaining -= done
             if work > done:
                 heapq.heappush(waiting, (last, work - done))
         if waiting and waiting[0][0] <= window:
             return False
-    return not waiting and not coming
+    return not waiting and not upcoming
--- a/benchmarks/emulated.py
+++ b/benchmarks/emulated.py
@@ -1,4 +1,4 @@
-"""What is emulated, and what came out."""
+"""Load, outcome and running tasks of the emulator in `emulation`."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from lentilmount.scheduling.reports import WorkerEntry, WorkerState
 
 STEP_SECONDS = 0.05
-"""Time that an emulation goes on at once."""
+"""Time step of an emulation."""
 
-LASTING_SECONDS = 300.0
-"""After which a lasting task fails, on average."""
+MEAN_LIFETIME_SECONDS = 300.0
+"""Mean time until a long-running task fails."""
 
 
 @attrs.frozen
 class Load:
-    """What is emulated.
+    """Workers and load of an emulation.
 
     Attributes:
-      workers: How many workers.
-      serving_jobs: Jobs of six tasks that serve, there from the start.
-      filling_per_second: Arrivals of jobs whose tasks fill.
-      plain_per_second: Arrivals of other jobs.
-      seconds: Length.
-      swing_seconds: Period of the serving tasks' loads.
-      heavy: Share of the filling images that press heavily.
-      cores: Cores of a worker; one in three has half as many more.
+      workers: Number of workers.
+      serving_jobs: Number of serving jobs, of six tasks each, from the start.
+      filling_per_second: Arrival rate of best-effort jobs.
+      plain_per_second: Arrival rate of other jobs.
+      seconds: Time during which jobs arrive and serving tasks are measured.
+      swing_seconds: Period of the load of the serving tasks.
+      heavy: Share of the best-effort images that can put high pressure on
+        serving tasks.
+      cores: Cores of a worker; every third worker has 1.5 times as many.
     """
 
     workers: int = 34
@@ -46,16 +47,18 @@
 
 @attrs.define
 class Outcome:
-    """What came out.
+    """Outcome of an emulation.
 
     Attributes:
-      filling: Share of the work of filling jobs that was done in time.
-      serving: Share of the serving tasks' time that counts; time over the
-        target because of others counts four times.
-      harms: Spells over the target of more than 4 s because of others.
-      moves: Filling tasks that were moved.
-      known_after: Seconds until nine of ten harmless pairs were known as
-        harmless, or infinity.
+      filling: Share of the credit of best-effort jobs that was earned by
+        completion in time.
+      serving: Time of serving tasks within the target, less three times the
+        time over it because of interference, as a share of the whole time.
+      harms: Number of periods of more than 4 s over the target because of
+        interference.
+      moves: Number of best-effort tasks that were moved.
+      known_after: Seconds until the model has learned that nine of ten
+        harmless pairs are harmless; infinity if it has not.
     """
 
     filling: float = 0.0
@@ -67,23 +70,35 @@
 
 @attrs.define(eq=False)
 class Running:
-    """A task on an emulated worker."""
+    """A running task on an emulated worker.
+
+    Attributes:
+      task: The task.
+      remaining_seconds: Remaining run time at full speed.
+      percent: CPU share after throttling, in percent.
+      phase: Phase of the load of a serving task, in radians.
+      stop_at: Time at which the task stops after a stop command.
+      tail_ratios: Latest ratios of the tail latency to the target.
+      over_target_since: Start of the period over the target, or infinity.
+      busy: Whether a best-effort task is in a busy phase.
+      switch_at: Time at which the next busy or quiet phase is drawn.
+    """
 
     task: Task
-    left: float
+    remaining_seconds: float
     percent: int = 100
     phase: float = 0.0
     stop_at: float = math.inf
-    ratios: collections.deque[float] = attrs.Factory(
+    tail_ratios: collections.deque[float] = attrs.Factory(
         lambda: collections.deque(maxlen=int(0.5 / STEP_SECONDS))
     )
-    over_since: float = math.inf
+    over_target_since: float = math.inf
     busy: bool = True
     switch_at: float = 0.0
 
     @property
-    def press(self) -> float:
-        """How hard it presses, 1 for a busy spell at full pace."""
+    def pressure(self) -> float:
+        """Relative pressure on serving tasks; 1 if busy and unthrottled."""
         factor = 1.0 if self.busy else QUIET_INTENSITY
         return factor * self.percent / 100
 
@@ -95,7 +110,7 @@
     zone: str = 'z0',
     labels: tuple[str, ...] = (),
 ) -> Worker:
-    """Adds a worker that has answered."""
+    """Registers a reachable worker."""
     entry = WorkerEntry(
         name,
         1,
--- a/benchmarks/fakes.py
+++ b/benchmarks/fakes.py
@@ -1,4 +1,7 @@
-"""A fake worker with a table of slowdowns, whose measurements lag."""
+"""A fake worker on which jobs slow down a service.
+
+Its measurements are reported with a lag.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +14,33 @@
 from lentilmount.resources import Demand
 from lentilmount.upstream.workers import Usage
 
-REQUESTS_A_SECOND = 4
-"""Requests drawn for each worker and second."""
+REQUESTS_PER_SECOND = 4
+"""Number of simulated requests per worker and second."""
 
 SPREAD = 0.25
-"""Sigma of the log-normal distribution of a request's time."""
+"""Sigma of the log-normal distribution of request times."""
 
 P99_FACTOR = 1.788
-"""99th percentile of that distribution over its median."""
+"""Ratio of the 99th percentile of that distribution to its median."""
 
 REPORT_NOISE = 0.05
 WINDOW_SECONDS = 5
 START_SECONDS = 5.0
-"""Time that an attempt takes to load before it makes progress."""
+"""Loading time of an attempt before it makes progress."""
 
 
 @attrs.define
-class Running:
-    """A job's attempt on a worker.
+class RunningJob:
+    """An attempt of a job on a worker.
 
     Attributes:
       job: The job.
-      task: Its task's id.
-      attempt: The attempt's number.
-      limit: What the worker lets it take.
-      share: Share of that which it is allowed.
-      loading: Seconds until it makes progress.
-      stopping: Whether it saves and stops.
+      task: Id of its task.
+      attempt: Number of the attempt.
+      limit: Resource limit set by the worker.
+      share: Share of the limit after throttling.
+      loading: Remaining loading time in seconds.
+      stopping: Whether it is saving its state to stop.
     """
 
     job: Job
@@ -50,24 +53,24 @@
 
     @property
     def speed(self) -> float:
-        """Progress a second, as a share of running alone."""
-        cores = min(1.0, self.limit.cores / self.job.kind.true.cores)
+        """Speed of progress, relative to running alone."""
+        cores = min(1.0, self.limit.cores / self.job.kind.actual.cores)
         return cores * self.share
 
 
 class FakeWorker:
-    """One service replica and some jobs.
+    """A worker that runs one service replica and some jobs.
 
     Attributes:
-      jobs: The jobs, by task.
-      times: What each request took, in milliseconds.
+      jobs: Running jobs, by task id.
+      request_times_ms: Response time of each request in milliseconds.
     """
 
     def __init__(
         self, deployment: Deployment, number: int, lag: float, seed: int
     ):
-        self.jobs: dict[str, Running] = {}
-        self.times: list[float] = []
+        self.jobs: dict[str, RunningJob] = {}
+        self.request_times_ms: list[float] = []
         self._deployment = deployment
         self._number = number
         self._lag = lag
@@ -81,7 +84,7 @@
         )
 
     def get_slowdown(self, load: float) -> float:
-        """Returns the factor that the jobs put on the service."""
+        """Returns the factor by which the jobs slow down the service."""
         factor = 1.0
         for running in self.jobs.values():
             extra = running.job.kind.slowdown - 1
@@ -89,32 +92,32 @@
         return factor
 
     def step(self, now: float, done: dict[str, float]) -> list[str]:
-        """Lets a second pass; returns the tasks that finished or stopped.
+        """Simulates one second; returns the tasks that finished or stopped.
 
         Args:
           now: Time at the end of the second.
-          done: Seconds of work done of each job, by task; kept elsewhere, as
-            a checkpoint would be.
+          done: Seconds of work done for each job, by task; updated here. The
+            caller keeps it across attempts, like a checkpoint.
         """
         load = get_load(self._number, now)
         factor = self.get_slowdown(load)
         self._serve(load, factor)
-        over = []
+        ended = []
         for task, running in self.jobs.items():
             running.loading -= 1
             if running.loading < 0:
                 done[task] = done.get(task, 0.0) + running.speed
             if running.stopping or done.get(task, 0) >= running.job.seconds:
-                over.append(task)
+                ended.append(task)
         self._measure(now, load)
-        return over
+        return ended
 
     def _serve(self, load: float, factor: float) -> None:
         median = self._deployment.base_ms * (1 + 0.3 * load) / P99_FACTOR
         self._recent.append(factor)
-        for _ in range(REQUESTS_A_SECOND):
+        for _ in range(REQUESTS_PER_SECOND):
             spread = self._rng.lognormvariate(0, SPREAD)
-            self.times.append(median * factor * spread)
+            self.request_times_ms.append(median * factor * spread)
 
     def _measure(self, now: float, load: float) -> None:
         mean = sum(self._recent) / len(self._recent)
@@ -132,8 +135,8 @@
                 running.task,
                 running.attempt,
                 0.0,
-                cores=running.job.kind.true.cores * running.speed,
-                memory_mb=running.job.kind.true.memory_mb,
+                cores=running.job.kind.actual.cores * running.speed,
+                memory_mb=running.job.kind.actual.memory_mb,
                 progress=running.speed,
             )
             for running in self.jobs.values()
@@ -141,7 +144,7 @@
         self._measured.append((now, (service, *jobs)))
 
     def report(self, now: float) -> tuple[Usage, ...]:
-        """Returns the newest measurement that is old enough."""
+        """Returns the newest measurement that is at least as old as the lag."""
         while len(self._measured) > 1:
             if self._measured[1][0] > now - self._lag:
                 break
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -1,4 +1,4 @@
-"""Plays the interference policy on emulated fleets, some seeds each."""
+"""Runs the interference policy on emulated deployments with several seeds."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
         swing_seconds=20.0,
     ),
 }
-"""The calm days of both deployments, and one whose workers are full."""
+"""Normal load of both deployments, and one with fully used workers."""
 
 
 def main() -> None:
-    """Prints the outcome of some seeds."""
+    """Prints the mean outcome of each load over the seeds."""
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 4)
     with concurrent.futures.ProcessPoolExecutor() as pool:
         runs = {
-            name: list(pool.map(play, [load] * len(seeds), seeds))
+            name: list(pool.map(run_seed, [load] * len(seeds), seeds))
             for name, load in LOADS.items()
         }
     for name, outcomes in runs.items():
@@ -50,8 +50,8 @@
         )
 
 
-def play(load: Load, seed: int) -> Outcome:
-    """Plays one seed."""
+def run_seed(load: Load, seed: int) -> Outcome:
+    """Runs the emulation of a load with one seed."""
     return Emulation(load, seed).run()
 
 
--- a/benchmarks/loads.py
+++ b/benchmarks/loads.py
@@ -1,4 +1,4 @@
-"""The two deployments, and a seeded load for each."""
+"""Defines two deployments and generates a seeded load for each."""
 
 from __future__ import annotations
 
@@ -11,48 +11,51 @@
 
 WAVE_SECONDS = 600.0
 WAVE_JOBS = 40
-ARRIVALS_A_WORKER = 0.075
-"""Jobs a second and worker: more than declared sizes leave room for."""
+ARRIVALS_PER_WORKER_SECOND = 0.075
+"""Arrival rate of jobs per worker and second; the declared demands of these
+jobs exceed the capacity."""
 
-LOAD_PERIOD = 1800.0
-"""Seconds in which a service's load goes up and down: a shortened day."""
+LOAD_PERIOD_SECONDS = 1800.0
+"""Period of the load of a service: a shortened day."""
 
 
 @attrs.frozen
 class JobClass:
-    """Jobs that behave alike.
+    """A class of jobs that behave alike.
 
     Attributes:
-      name: The class.
-      weight: Its share of the jobs that arrive.
-      declared: What their owners ask for.
-      true: What they take.
-      seconds: Median run time alone.
-      slowdown: Factor on the service beside one of them, at full load.
+      name: Name of the class.
+      weight: Share of this class in the arriving jobs.
+      declared: Demand that the owners declare.
+      actual: Demand that the jobs really have.
+      seconds: Median run time when it runs alone.
+      slowdown: Factor by which one such job slows down the service on its
+        worker, at full load.
     """
 
     name: str
     weight: float
     declared: Demand
-    true: Demand
+    actual: Demand
     seconds: float
     slowdown: float
 
 
 @attrs.frozen
 class Deployment:
-    """A deployment's workers, service and jobs.
+    """The workers, the service and the job classes of a deployment.
 
     Attributes:
-      name: The deployment.
-      workers: How many.
-      capacity: What each has.
-      per_rack: Workers to a rack.
+      name: Name of the deployment.
+      workers: Number of workers.
+      capacity: Capacity of each worker.
+      per_rack: Number of workers in a rack.
       service: Path of the service, with one replica on each worker.
-      service_demand: What a replica takes.
-      base_ms: Its 99th percentile alone without load.
-      weights: How the deployment weighs things.
-      classes: Its classes of jobs; the noisiest comes in waves.
+      service_demand: Demand of a replica.
+      base_ms: 99th percentile of the response time of a replica that runs
+        alone and without load.
+      weights: Policy weights of the deployment.
+      classes: Job classes; jobs of the noisiest one arrive in waves.
     """
 
     name: str
@@ -67,15 +70,22 @@
 
     @property
     def noisiest(self) -> JobClass:
-        """The class that slows the service most."""
+        """The job class that slows down the service most."""
         return max(self.classes, key=lambda c: c.slowdown)
 
 
 @attrs.frozen
 class Job:
-    """One job of a load."""
+    """One job of a load.
 
-    at: float
+    Attributes:
+      arrived_at: Arrival time in seconds from the start of the load.
+      name: Name of the job.
+      kind: Class of the job.
+      seconds: Run time when it runs alone.
+    """
+
+    arrived_at: float
     name: str
     kind: JobClass
     seconds: float
@@ -120,14 +130,14 @@
 
 
 def make_jobs(deployment: Deployment, seconds: float, seed: int) -> list[Job]:
-    """Returns the jobs that arrive, in order, with waves of the noisiest."""
+    """Returns the arriving jobs in order, with waves of the noisiest class."""
     rng = random.Random(f'{seed}/{deployment.name}/jobs')
     jobs: list[Job] = []
     weights = [kind.weight for kind in deployment.classes]
     at = 0.0
     next_wave = WAVE_SECONDS / 2
     while at < seconds:
-        at += rng.expovariate(ARRIVALS_A_WORKER * deployment.workers)
+        at += rng.expovariate(ARRIVALS_PER_WORKER_SECOND * deployment.workers)
         (kind,) = rng.choices(deployment.classes, weights)
         jobs.append(_make_job(len(jobs), at, kind, rng))
         if at >= next_wave:
@@ -146,7 +156,7 @@
 
 
 def get_load(worker: int, now: float) -> float:
-    """Returns the share of its slots that a service uses."""
+    """Returns the share of its slots that a replica uses at a time."""
     phase = 0.7 * (worker % 4)
-    swing = math.sin(2 * math.pi * now / LOAD_PERIOD + phase)
+    swing = math.sin(2 * math.pi * now / LOAD_PERIOD_SECONDS + phase)
     return 0.45 + 0.4 * swing
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,7 +1,7 @@
-"""The interference policy against first fit and a threshold evictor.
+"""Compares the interference policy with first fit and a threshold evictor.
 
-The policy's real code decides for fake workers on a manual clock, on the same
-seeded load as the others.
+All strategies run the same seeded load on fake workers and a manual clock; the
+policy runs its production code.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import attrs
 
 from benchmarks.baselines import FirstFit, ThresholdEvictor
-from benchmarks.fakes import FakeWorker, Running
+from benchmarks.fakes import FakeWorker, RunningJob
 from benchmarks.loads import DEPLOYMENTS, Deployment, Job, make_jobs
 from benchmarks.report import Report
 from lentilmount.batch.drafts import Draft
@@ -26,7 +26,7 @@
 from stand_ins.slices import MemoryLink, MemorySlice
 
 SECONDS = 1800
-"""One period of the services' load."""
+"""Simulated time: one period of the load of the services."""
 
 QUICK_SECONDS = 600
 LAGS = (5.0, 15.0, 60.0)
@@ -34,23 +34,23 @@
 SYNC_SECONDS = 2
 TEAMS = 4
 
-MOST_RATIO = 1.2
-LEAST_THROUGHPUT = 0.9
-MOST_EVICTIONS = 0.1
+MAX_P99_RATIO = 1.2
+MIN_WORK_SHARE = 0.9
+MAX_EVICTION_SHARE = 0.1
 
 
 class Strategy(Protocol):
-    """Who decides."""
+    """A strategy that evicts and places tasks."""
 
     def act(self, draft: Draft, now: float) -> None:
-        """Does what is due before placing."""
+        """Evicts or throttles tasks before tasks are placed."""
 
     def place(self, draft: Draft) -> bool:
-        """Places what fits; returns whether the draft filled up."""
+        """Places the tasks that fit; returns whether the draft became full."""
 
 
-class Learned:
-    """The policy as a `Strategy`."""
+class PolicyStrategy:
+    """The interference policy as a `Strategy`."""
 
     def __init__(
         self,
@@ -78,8 +78,8 @@
         return self.policy.place(draft).more
 
 
-class Idle:
-    """Runs no batch at all: what services are like alone."""
+class NoBatchStrategy:
+    """Places no batch jobs, to measure the services alone."""
 
     def act(self, draft: Draft, now: float) -> None:
         """See `Strategy`."""
@@ -91,13 +91,13 @@
 
 @attrs.define
 class Result:
-    """What one run gave.
+    """Result of one run.
 
     Attributes:
-      p99_ms: 99th percentile of all requests.
-      work: Core seconds of batch work done.
-      done: Jobs completed, by class.
-      evictions: Jobs evicted.
+      p99_ms: 99th percentile of all response times in milliseconds.
+      work: Completed batch work in core-seconds.
+      done: Number of completed jobs, by class.
+      evictions: Number of evicted jobs.
     """
 
     p99_ms: float
@@ -106,8 +106,8 @@
     evictions: int
 
 
-class World:
-    """A deployment's workers, and the load that comes."""
+class Simulation:
+    """Simulates the workers of a deployment under the seeded load."""
 
     def __init__(self, deployment: Deployment, lag: float, seconds: int):
         self.deployment = deployment
@@ -117,7 +117,7 @@
             [deployment.capacity] * deployment.workers, deployment.per_rack
         )
         self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
-        self.fakes = {
+        self.fake_workers = {
             name: FakeWorker(deployment, number, lag, SEED)
             for number, name in enumerate(self.rows.workers)
         }
@@ -145,25 +145,29 @@
         self.rows.apply(draft)
 
     def run(self, strategy: Strategy) -> Result:
-        """Runs the whole load."""
+        """Runs the whole load under a strategy."""
         start = self.clock.now
         arrivals = iter(self._jobs)
-        coming = next(arrivals, None)
+        next_job = next(arrivals, None)
         for second in range(self._seconds):
             self.clock.advance(1.0)
-            while coming and coming.at <= second:
-                self._admit(coming)
-                coming = next(arrivals, None)
+            while next_job and next_job.arrived_at <= second:
+                self._admit(next_job)
+                next_job = next(arrivals, None)
             self._step(self.clock.now - start)
             if second % SYNC_SECONDS == 0:
                 self._synchronize(self.clock.now - start)
             self._decide(strategy)
-        times = sorted(t for fake in self.fakes.values() for t in fake.times)
+        times = sorted(
+            t
+            for fake in self.fake_workers.values()
+            for t in fake.request_times_ms
+        )
         return Result(
             p99_ms=times[int(0.99 * len(times))],
             work=sum(
                 min(done, self._by_task[task].seconds)
-                * self._by_task[task].kind.true.cores
+                * self._by_task[task].kind.actual.cores
                 for task, done in self._progress.items()
             ),
             done=self.done,
@@ -183,12 +187,12 @@
         self.rows.admit(task)
 
     def _step(self, now: float) -> None:
-        for name, fake in self.fakes.items():
+        for name, fake in self.fake_workers.items():
             for task in fake.step(now, self._progress):
                 self._finish(name, task)
 
     def _finish(self, worker: str, task_id: str) -> None:
-        running = self.fakes[worker].jobs.pop(task_id)
+        running = self.fake_workers[worker].jobs.pop(task_id)
         task = self.rows.tasks[task_id]
         finished = self._progress.get(task_id, 0) >= running.job.seconds
         draft = self.rows.begin()
@@ -201,7 +205,7 @@
             self.done[name] = self.done.get(name, 0) + 1
 
     def _synchronize(self, now: float) -> None:
-        for name, fake in self.fakes.items():
+        for name, fake in self.fake_workers.items():
             session = self.sessions[name]
             session.usage = fake.report(now)
             for command in session.sent:
@@ -227,10 +231,10 @@
                 self._start(task)
             elif task.phase is Phase.EVICTING:
                 self.evictions += 1
-                self.fakes[task.worker].jobs[task.id].stopping = True
+                self.fake_workers[task.worker].jobs[task.id].stopping = True
 
     def _start(self, task: Task) -> None:
-        self.fakes[task.worker].jobs[task.id] = Running(
+        self.fake_workers[task.worker].jobs[task.id] = RunningJob(
             self._by_task[task.id], task.id, task.attempt, task.demand
         )
         draft = self.rows.begin()
@@ -238,20 +242,20 @@
         self.rows.apply(draft)
 
     def check(self) -> None:
-        """Fails if a worker is committed beyond what it has."""
+        """Asserts that no worker is committed beyond its capacity."""
         for record in self.rows.workers.values():
             free = record.free
             assert min(free.cores + 1e-6, free.memory_mb) >= 0, record.name
-        held = sum(
+        committed = sum(
             t.phase in COMMITTED_PHASES for t in self.rows.tasks.values()
         )
-        assert held == sum(
+        assert committed == sum(
             len(r.commitments) for r in self.rows.workers.values()
         )
 
 
 def hash_name(name: str) -> int:
-    """Hashes a name, the same in every run."""
+    """Returns a hash of a name that is the same in every run."""
     return sum(map(ord, name))
 
 
@@ -259,17 +263,17 @@
     deployment: Deployment,
     lag: float,
     seconds: int,
-    make: Callable[[World], Strategy],
+    make_strategy: Callable[[Simulation], Strategy],
 ) -> Result:
     """Runs one strategy on the seeded load."""
-    world = World(deployment, lag, seconds)
-    result = world.run(make(world))
-    world.check()
+    simulation = Simulation(deployment, lag, seconds)
+    result = simulation.run(make_strategy(simulation))
+    simulation.check()
     return result
 
 
 def measure(quick: bool) -> Report:
-    """Compares the policy with the others on both deployments."""
+    """Compares the policy with the baselines on both deployments."""
     seconds = QUICK_SECONDS if quick else SECONDS
     report = Report('policy')
     report.notes.append(
@@ -279,30 +283,35 @@
     )
     for deployment in DEPLOYMENTS:
         _compare(report, deployment, seconds)
-        _compare_exact(report, deployment, seconds)
+        _compare_exact_demands(report, deployment, seconds)
     return report
 
 
-def _compare_exact(
+def _compare_exact_demands(
     report: Report, deployment: Deployment, seconds: int
 ) -> None:
-    """Compares where all declared sizes are true, so none can be learned."""
+    """Compares the strategies when all declared demands are exact.
+
+    The policy then gains nothing from learning the real demands.
+    """
     classes = tuple(
-        attrs.evolve(kind, declared=kind.true) for kind in deployment.classes
+        attrs.evolve(kind, declared=kind.actual) for kind in deployment.classes
     )
     exact = attrs.evolve(deployment, classes=classes)
-    alone = run_one(exact, LAGS[1], seconds, lambda _: Idle())
+    alone = run_one(exact, LAGS[1], seconds, lambda _: NoBatchStrategy())
     naive = run_one(
         exact,
         LAGS[1],
         seconds,
-        lambda world: FirstFit(world.rows, world.sessions),
+        lambda simulation: FirstFit(simulation.rows, simulation.sessions),
     )
     learned = run_one(
         exact,
         LAGS[1],
         seconds,
-        lambda world: Learned(world.rows, world.sessions, exact, world.clock),
+        lambda simulation: PolicyStrategy(
+            simulation.rows, simulation.sessions, exact, simulation.clock
+        ),
     )
     case = f'{exact.name}/true sizes declared'
     report.add(f'{case}/naive/p99 ratio', naive.p99_ms / alone.p99_ms)
@@ -311,12 +320,12 @@
 
 
 def _compare(report: Report, deployment: Deployment, seconds: int) -> None:
-    alone = run_one(deployment, LAGS[0], seconds, lambda _: Idle())
+    alone = run_one(deployment, LAGS[0], seconds, lambda _: NoBatchStrategy())
     naive = run_one(
         deployment,
         LAGS[0],
         seconds,
-        lambda world: FirstFit(world.rows, world.sessions),
+        lambda simulation: FirstFit(simulation.rows, simulation.sessions),
     )
     name = deployment.name
     report.add(f'{name}/alone/p99', alone.p99_ms, 'ms')
@@ -328,21 +337,24 @@
             deployment,
             lag,
             seconds,
-            lambda world: ThresholdEvictor(
-                world.rows, world.sessions, deployment.base_ms
+            lambda simulation: ThresholdEvictor(
+                simulation.rows, simulation.sessions, deployment.base_ms
             ),
         )
         learned = run_one(
             deployment,
             lag,
             seconds,
-            lambda world: Learned(
-                world.rows, world.sessions, deployment, world.clock
+            lambda simulation: PolicyStrategy(
+                simulation.rows,
+                simulation.sessions,
+                deployment,
+                simulation.clock,
             ),
         )
         case = f'{name}/lag {lag:.0f} s'
         _add_evictor(report, case, evictor, naive, alone)
-        _add_learned(report, case, learned, evictor, naive, alone)
+        _add_policy(report, case, learned, evictor, naive, alone)
         noisiest = deployment.noisiest.name
         report.add(
             f'{case}/policy/noisiest class done of naive',
@@ -358,7 +370,7 @@
     report.add(f'{case}/evictor/evictions', evictor.evictions)
 
 
-def _add_learned(
+def _add_policy(
     report: Report,
     case: str,
     learned: Result,
@@ -369,16 +381,16 @@
     report.add(
         f'{case}/policy/p99 ratio',
         learned.p99_ms / alone.p99_ms,
-        most=MOST_RATIO,
+        most=MAX_P99_RATIO,
     )
     report.add(
         f'{case}/policy/work of naive',
         learned.work / naive.work,
-        least=LEAST_THROUGHPUT,
+        least=MIN_WORK_SHARE,
     )
     report.add(f'{case}/policy/evictions', learned.evictions)
     report.add(
         f'{case}/policy/evictions of evictor',
         learned.evictions / max(1, evictor.evictions),
-        most=MOST_EVICTIONS,
+        most=MAX_EVICTION_SHARE,
     )
