--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of real daemons; run by `make bench`."""
+"""Benchmarks of the daemons and the scheduler; run by `make bench`."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -16,27 +16,31 @@
     'fullsize',
     'overload',
 )
-"""Each is a module here with `measure(quick: bool) -> Report`."""
+"""Modules of this package that define `measure(quick: bool) -> Report`."""
 
 
 def main() -> int:
-    """Runs what is named, or everything."""
+    """Runs the named benchmarks, or all of them.
+
+    Returns:
+      Exit status: 1 if a figure is outside its regression bounds.
+    """
     parser = argparse.ArgumentParser(prog='benchmarks', description=__doc__)
     parser.add_argument('names', nargs='*', choices=[*BENCHMARKS, []])
     parser.add_argument(
         '--quick', action='store_true', help='short runs, to try things out'
     )
     args = parser.parse_args()
-    broken = 0
+    violations = 0
     for name in args.names or BENCHMARKS:
         module = importlib.import_module(f'benchmarks.{name}')
         report: Report = module.measure(args.quick)
         report.write()
         for figure in report.figures:
-            mark = '' if figure.is_kept else '  BEYOND ITS BOUND'
+            mark = '' if figure.is_within_bounds else '  BEYOND ITS BOUND'
             print(f'{figure.name}: {figure.value:.4g} {figure.unit}{mark}')
-        broken += len(report.list_broken())
-    return 1 if broken else 0
+        violations += len(report.list_violations())
+    return 1 if violations else 0
 
 
 if __name__ == '__main__':
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -309,14 +309,14 @@
         ('processor', cpu, 'us/s'),
         ('memory', memory, 'KiB'),
     ):
-        report.add(f'{name}/{title}', slope.each, f'{what} {unit}')
+        report.add(f'{name}/{title}', slope.per_unit, f'{what} {unit}')
         report.add(f'{name}/{title}-base', slope.base, what)
-        report.add(f'{name}/{title}-fit', slope.fit)
+        report.add(f'{name}/{title}-fit', slope.correlation)
     for title, values in (
         ('table-reads', [s.reads for s in samples]),
         ('table-writes', [s.writes for s in samples]),
     ):
-        report.add(f'{name}/{title}', fit_slope(sizes, values).each, unit)
+        report.add(f'{name}/{title}', fit_slope(sizes, values).per_unit, unit)
 
 
 def measure(quick: bool) -> Report:
--- a/benchmarks/probes.py
+++ b/benchmarks/probes.py
@@ -1,4 +1,4 @@
-"""What a process costs, as the operating system counts it."""
+"""Measures CPU time, memory and loopback traffic of processes in /proc."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 TICKS = os.sysconf('SC_CLK_TCK')
 CPU_FIELDS = slice(11, 13)
-"""User and system time, counted after the command's closing bracket."""
+"""Fields of /proc/PID/stat with user and system time, counted from the
+closing bracket of the command name."""
 
 
 def read_cpu(pid: int) -> float:
-    """Returns the processor seconds that a process has used."""
+    """Returns the CPU time that a process has used, in seconds."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text()
     fields = text.rpartition(')')[2].split()
     return sum(map(int, fields[CPU_FIELDS])) / TICKS
 
 
 def read_memory(pid: int) -> float:
-    """Returns a process's resident memory in MiB."""
+    """Returns the resident memory of a process in MiB."""
     for line in pathlib.Path(f'/proc/{pid}/status').read_text().splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1]) / 1024
@@ -31,7 +32,7 @@
 
 
 def read_loopback() -> int:
-    """Returns the bytes that every process here sent over loopback."""
+    """Returns the bytes sent over loopback by all processes of this host."""
     for line in pathlib.Path('/proc/net/dev').read_text().splitlines():
         name, _, counts = line.partition(':')
         if name.strip() == 'lo':
@@ -41,12 +42,12 @@
 
 @attrs.frozen
 class Cost:
-    """What processes cost over a while.
+    """Resource usage of processes over a period.
 
     Attributes:
-      cores: Processor time, as a share of one core, of each process.
-      memory_mb: Resident memory at the end, of each process.
-      seconds: How long was measured.
+      cores: CPU usage of each process, as a share of one core.
+      memory_mb: Resident memory of each process at the end, in MiB.
+      seconds: Length of the period.
     """
 
     cores: tuple[float, ...]
@@ -55,16 +56,16 @@
 
 
 class Probe:
-    """Measures processes from its creation on."""
+    """Measures the resource usage of processes since its creation."""
 
     def __init__(self, pids: Sequence[int]):
         self._pids = tuple(pids)
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._before = [read_cpu(pid) for pid in self._pids]
 
     def read(self) -> Cost:
-        """Returns what the processes cost so far."""
-        seconds = time.monotonic() - self._began
+        """Returns the resource usage since the creation of the probe."""
+        seconds = time.monotonic() - self._started_at
         used = [
             read_cpu(pid) - before
             for pid, before in zip(self._pids, self._before, strict=True)
@@ -78,21 +79,21 @@
 
 @attrs.frozen
 class Slope:
-    """A straight line through measurements.
+    """A straight line fitted to measurements.
 
     Attributes:
-      each: What one more costs.
-      base: What none costs.
-      fit: Correlation, 1 for points on a line.
+      per_unit: Slope: cost of each additional unit.
+      base: Intercept: cost without any unit.
+      correlation: Correlation coefficient; 1 if all points are on the line.
     """
 
-    each: float
+    per_unit: float
     base: float
-    fit: float
+    correlation: float
 
 
 def fit_slope(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Fits a line by least squares; needs three sizes or more."""
+    """Fits a line by least squares; pass at least three sizes."""
     line = statistics.linear_regression(sizes, values)
     spread = len(set(values)) > 1
     fit = statistics.correlation(sizes, values) if spread else 1.0
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Figures of a benchmark: as JSON for machines, as HTML for people."""
+"""Collects the figures of a benchmark and writes them as JSON and HTML."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     """One measured number.
 
     Attributes:
-      name: What was measured, as group/case/what.
-      value: The number.
-      unit: Its unit.
+      name: Name of the quantity, as group/case/quantity.
+      value: Measured value.
+      unit: Unit of the value.
       most: Regression bound: the largest value allowed, or None.
       least: Regression bound: the smallest value allowed, or None.
     """
@@ -32,20 +32,20 @@
     least: float | None = None
 
     @property
-    def is_kept(self) -> bool:
-        """Whether the bound, if any, is kept."""
+    def is_within_bounds(self) -> bool:
+        """Whether the value is within the regression bounds, if any."""
         low = self.least is None or self.value >= self.least
         return low and (self.most is None or self.value <= self.most)
 
 
 @attrs.define
 class Report:
-    """What one benchmark found.
+    """The results of one benchmark.
 
     Attributes:
-      name: The benchmark.
-      figures: Its figures, in order.
-      notes: What a reader has to know of the run.
+      name: Name of the benchmark.
+      figures: Measured figures, in order.
+      notes: Conditions of the run that a reader needs.
     """
 
     name: str
@@ -60,34 +60,40 @@
         most: float | None = None,
         least: float | None = None,
     ) -> None:
-        """Adds a figure; bounds belong on ratios within one run."""
+        """Adds a figure.
+
+        Bounds are meant for ratios within one run, which do not depend on the
+        speed of the machine.
+        """
         self.figures.append(Figure(name, value, unit, most, least))
 
-    def list_broken(self) -> list[Figure]:
-        """Returns the figures beyond their bounds."""
-        return [figure for figure in self.figures if not figure.is_kept]
+    def list_violations(self) -> list[Figure]:
+        """Returns the figures outside their regression bounds."""
+        return [
+            figure for figure in self.figures if not figure.is_within_bounds
+        ]
 
     def write(self, folder: pathlib.Path = RESULTS) -> None:
         """Writes NAME.json and NAME.html."""
         folder.mkdir(parents=True, exist_ok=True)
-        plain = {
+        document = {
             'name': self.name,
             'python': platform.python_version(),
             'notes': self.notes,
             'figures': [attrs.asdict(figure) for figure in self.figures],
         }
-        text = json.dumps(plain, indent=1) + '\n'
+        text = json.dumps(document, indent=1) + '\n'
         (folder / f'{self.name}.json').write_text(text, 'utf-8')
-        (folder / f'{self.name}.html').write_text(_draw(self), 'utf-8')
+        (folder / f'{self.name}.html').write_text(_render_html(self), 'utf-8')
 
 
-def _draw(report: Report) -> str:
+def _render_html(report: Report) -> str:
     largest: dict[str, float] = {}
     for figure in report.figures:
         largest[figure.unit] = max(
             largest.get(figure.unit, 0.0), abs(figure.value)
         )
-    rows = ''.join(_draw_row(f, largest[f.unit]) for f in report.figures)
+    rows = ''.join(_render_row(f, largest[f.unit]) for f in report.figures)
     notes = ''.join(f'<p>{html.escape(note)}</p>' for note in report.notes)
     return (
         '<!doctype html><meta charset="utf-8">'
@@ -97,9 +103,9 @@
     )
 
 
-def _draw_row(figure: Figure, largest: float) -> str:
+def _render_row(figure: Figure, largest: float) -> str:
     share = abs(figure.value) / largest if largest else 0.0
-    colour = 'steelblue' if figure.is_kept else 'firebrick'
+    colour = 'steelblue' if figure.is_within_bounds else 'firebrick'
     bound = ''
     if figure.most is not None:
         bound = f'at most {figure.most:g}'
