--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""What each role of a daemon costs for each worker, task, job and change.
+"""Measures the cost of daemons per worker, task, job and change.
 
-Real daemons against stand-ins, three sizes or more for each slope. The
-figures that `docs/CAPACITY.md` works out at full size come from here.
+Real daemons run against stand-ins, with at least three sizes for each slope.
+`docs/CAPACITY.md` extrapolates these figures to the full size.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     usage=30.0,
     task_lease=60.0,
 )
-"""Times that a deployment of full size would set."""
+"""Time settings for a deployment of full size."""
 
 CAPACITY = Room(64.0, 512 * 1024, 8)
 WORKERS_PER_RACK = 16
@@ -38,8 +38,8 @@
 MEASURE_SECONDS = 20.0
 QUICK_SECONDS = 6.0
 WAIT_SECONDS = 120.0
-AT_ONCE = 8
-MICRO = 1e6
+MAX_CONCURRENT_SUBMISSIONS = 8
+MICROSECONDS_PER_SECOND = 1e6
 
 
 @attrs.frozen
@@ -47,11 +47,11 @@
     """One measurement of a deployment.
 
     Attributes:
-      cost: What the daemons cost.
-      reads: Rows that the table read a second.
-      writes: Rows that the table wrote a second.
-      calls: Calls that the table answered a second.
-      sent: Bytes a second over loopback, of all processes, with headers.
+      cost: Resource usage of the daemons.
+      reads: Rows per second read by the table service.
+      writes: Rows per second written by the table service.
+      calls: Calls per second answered by the table service.
+      sent: Bytes per second sent over loopback by all processes, with headers.
     """
 
     cost: Cost
@@ -65,22 +65,22 @@
     """A deployment under measurement.
 
     Args:
-      deployment: Its processes; the platform is running.
-      seconds: How long each measurement takes.
+      deployment: Its processes; the platform must be running.
+      seconds: Length of each measurement.
 
     Attributes:
-      seconds: The same.
+      seconds: Length of each measurement.
     """
 
     def __init__(self, deployment: Deployment, seconds: float):
         self._deployment = deployment
         self.seconds = seconds
-        self._callers: list[HttpClient] = []
+        self._clients: list[HttpClient] = []
         self._platform = HttpClient(deployment.platform.addresses['table'])
 
     def connect(self) -> None:
-        """Opens a client to each daemon's resource API."""
-        self._callers = [
+        """Creates a client for the resource API of each daemon."""
+        self._clients = [
             HttpClient(f'http://{d.addresses["operators"]}', 30.0)
             for d in self._deployment.daemons.values()
         ]
@@ -88,35 +88,39 @@
     async def call(
         self, method: str, path: str, value: Any = None, daemon: int = 0
     ) -> Any:
-        """Calls the resource API of one daemon."""
+        """Calls the resource API of one daemon and returns the JSON response.
+
+        Raises:
+          RuntimeError: The daemon returned an error.
+        """
         body = None if value is None else json.dumps(value).encode()
-        answer = await self._callers[daemon % len(self._callers)].call(
+        response = await self._clients[daemon % len(self._clients)].call(
             method, path, body, {'Authorization': f'Bearer {ADMIN_TOKEN}'}
         )
-        if answer.status >= 400:
-            raise RuntimeError(f'{method} {path}: {answer.body.decode()}')
-        return json.loads(answer.body)
+        if response.status >= 400:
+            raise RuntimeError(f'{method} {path}: {response.body.decode()}')
+        return json.loads(response.body)
 
     async def read_stats(self) -> dict[str, Any]:
-        """Returns the table's counts."""
-        answer = await self._platform.call('GET', '/_stats')
-        stats: dict[str, Any] = json.loads(answer.body)
+        """Returns the counters of the table service."""
+        response = await self._platform.call('GET', '/_stats')
+        stats: dict[str, Any] = json.loads(response.body)
         return stats
 
     async def measure(
         self, load: Callable[[], Awaitable[None]] | None = None
     ) -> Sample:
-        """Measures the daemons for a while, under a load if given."""
+        """Measures the daemons, under a load if one is given."""
         await asyncio.sleep(SETTLE_SECONDS)
         pids = [d.popen.pid for d in self._deployment.daemons.values()]
         before = await self.read_stats()
         sent = read_loopback()
         probe = Probe(pids)
-        began = time.monotonic()
+        started_at = time.monotonic()
         if load is not None:
             await load()
-        left = self.seconds - (time.monotonic() - began)
-        await asyncio.sleep(max(0.0, left))
+        remaining = self.seconds - (time.monotonic() - started_at)
+        await asyncio.sleep(max(0.0, remaining))
         cost = probe.read()
         sent = read_loopback() - sent
         after = await self.read_stats()
@@ -130,57 +134,71 @@
         )
 
     async def apply_service(self, replicas: int) -> None:
-        """Applies a service and waits until every replica runs."""
+        """Applies a service and waits until all replicas run."""
         path = '/v1/services/load/desk'
         await self.call('POST', '/v1/services', make_service(replicas))
         await wait_until(
-            lambda: self._has_reason(path, f'{replicas} of'), WAIT_SECONDS
+            lambda: self._reason_starts_with(path, f'{replicas} of'),
+            WAIT_SECONDS,
         )
 
-    async def _has_reason(self, path: str, start: str) -> bool:
+    async def _reason_starts_with(self, path: str, start: str) -> bool:
         resource = await self.call('GET', path)
         return bool(resource['status']['reason'].startswith(start))
 
     async def submit_jobs(
         self, prefix: str, count: int, seconds: float, rate: float = 0.0
     ) -> None:
-        """Submits jobs over all daemons, at a rate if given."""
-        limit = asyncio.Semaphore(AT_ONCE)
+        """Submits jobs through all daemons.
+
+        Args:
+          prefix: Prefix of the job names.
+          count: Number of jobs.
+          seconds: Run time of each job.
+          rate: Jobs per second; if 0, as fast as possible.
+        """
+        limit = asyncio.Semaphore(MAX_CONCURRENT_SUBMISSIONS)
 
         async def submit(number: int) -> None:
             async with limit:
                 job = make_job(f'{prefix}-{number}', number, seconds)
                 await self.call('POST', '/v1/jobs', job, number)
 
-        began = time.monotonic()
+        started_at = time.monotonic()
         calls = []
         for number in range(count):
             if rate:
-                due = began + number / rate
+                due = started_at + number / rate
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
             calls.append(asyncio.create_task(submit(number)))
         await asyncio.gather(*calls)
 
     def close(self) -> None:
         """Closes the clients."""
-        for caller in [*self._callers, self._platform]:
-            caller.close()
+        for client in [*self._clients, self._platform]:
+            client.close()
 
 
 async def wait_until(
-    check: Callable[[], Awaitable[bool]], seconds: float, pause: float = 0.5
+    check: Callable[[], Awaitable[bool]], seconds: float, interval: float = 0.5
 ) -> None:
-    """Waits until a check holds."""
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    """Waits until a check returns true.
+
+    Raises:
+      RuntimeError: It did not within the given seconds.
+    """
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         if await check():
             return
-        await asyncio.sleep(pause)
-    raise RuntimeError('the deployment did not settle')
+        await asyncio.sleep(interval)
+    raise RuntimeError(
+        f'the awaited state was not reached within {seconds:g} s'
+    )
 
 
 def make_service(replicas: int) -> dict[str, Any]:
-    """Builds a service of small tasks."""
+    """Returns a service resource with small tasks."""
     return {
         'kind': 'Service',
         'metadata': {'team': 'load', 'name': 'desk'},
@@ -193,7 +211,7 @@
 
 
 def make_job(name: str, number: int, seconds: float) -> dict[str, Any]:
-    """Builds a small job."""
+    """Returns a job resource with a small demand."""
     return {
         'kind': 'Job',
         'metadata': {'team': f'team-{number % 180}', 'name': name},
@@ -207,7 +225,7 @@
 
 
 def make_options(zones: int, workers: int) -> PlatformOptions:
-    """Builds a platform."""
+    """Returns the options of a platform."""
     names = [f'zone-{number}' for number in range(zones)]
     return PlatformOptions(
         make_zones(names, workers, WORKERS_PER_RACK, CAPACITY)
@@ -234,7 +252,7 @@
     daemons: int = 1,
     zones: int = 1,
 ) -> Sample:
-    """Runs one measurement on a deployment of its own."""
+    """Runs one measurement on a new deployment."""
     with Deployment(make_options(zones, workers), TIMES) as deployment:
         for number in range(daemons):
             deployment.start_daemon(f'entry-{number}', f'zone-{number % zones}')
@@ -242,14 +260,14 @@
 
 
 async def measure_idle(bench: Bench) -> Sample:
-    """Measures a deployment with one empty team."""
+    """Measures an idle deployment that has one team."""
     team = {'kind': 'Team', 'metadata': {'name': 'load'}, 'spec': {}}
     await bench.call('POST', '/v1/teams', team)
     return await bench.measure()
 
 
 def make_task_work(tasks: int) -> Callable[[Bench], Awaitable[Sample]]:
-    """Builds a measurement with a number of running tasks."""
+    """Returns a measurement with a number of running tasks."""
 
     async def work(bench: Bench) -> Sample:
         await bench.apply_service(tasks)
@@ -261,7 +279,7 @@
 def make_start_work(
     rate: float, seconds: float
 ) -> Callable[[Bench], Awaitable[Sample]]:
-    """Builds a measurement with short jobs at a rate."""
+    """Returns a measurement with short jobs, at a rate per second."""
 
     async def work(bench: Bench) -> Sample:
         await measure_idle(bench)
@@ -276,15 +294,15 @@
 def make_change_work(
     rate: float, seconds: float
 ) -> Callable[[Bench], Awaitable[Sample]]:
-    """Builds a measurement with configuration changes at a rate."""
+    """Returns a measurement with configuration changes at a rate per second."""
 
     async def work(bench: Bench) -> Sample:
         await measure_idle(bench)
 
         async def change() -> None:
-            began = time.monotonic()
+            started_at = time.monotonic()
             for number in range(int(rate * seconds)):
-                due = began + number / rate
+                due = started_at + number / rate
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
                 name = f'team-{number}'
                 team = {'kind': 'Team', 'metadata': {'name': name}, 'spec': {}}
@@ -302,15 +320,20 @@
     samples: list[Sample],
     unit: str,
 ) -> None:
-    """Adds the slopes of the first daemon's processor time and memory."""
-    cpu = fit_slope(sizes, [s.cost.cores[0] * MICRO for s in samples])
+    """Adds the slopes of CPU time and memory of the first daemon.
+
+    The slopes of table reads and writes are added as well.
+    """
+    cpu = fit_slope(
+        sizes, [s.cost.cores[0] * MICROSECONDS_PER_SECOND for s in samples]
+    )
     memory = fit_slope(sizes, [s.cost.memory_mb[0] * 1024 for s in samples])
-    for title, slope, what in (
+    for title, slope, unit_name in (
         ('processor', cpu, 'us/s'),
         ('memory', memory, 'KiB'),
     ):
-        report.add(f'{name}/{title}', slope.per_unit, f'{what} {unit}')
-        report.add(f'{name}/{title}-base', slope.base, what)
+        report.add(f'{name}/{title}', slope.per_unit, f'{unit_name} {unit}')
+        report.add(f'{name}/{title}-base', slope.base, unit_name)
         report.add(f'{name}/{title}-fit', slope.correlation)
     for title, values in (
         ('table-reads', [s.reads for s in samples]),
@@ -320,7 +343,7 @@
 
 
 def measure(quick: bool) -> Report:
-    """Measures every slope, then the whole at full size."""
+    """Measures all slopes."""
     seconds = QUICK_SECONDS if quick else MEASURE_SECONDS
     report = Report('capacity')
     report.notes.append(
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""Real daemons in front of raw upstreams, with the brief's two services."""
+"""Runs real daemons in front of raw upstreams with the reference services."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from stand_ins.raw import RawOptions, get_capacity
 
 READY_SECONDS = 30.0
-MANY_CONNECTIONS = 8192
+MAX_CONNECTIONS = 8192
 AUTHORIZATION = {'Authorization': f'Bearer {ADMIN_TOKEN}'}
-TICKS = os.sysconf('SC_CLK_TCK')
+CLOCK_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 
 
 @attrs.frozen
 class Site:
-    """One service of the brief.
+    """A reference service and the workers it runs on.
 
     Attributes:
-      service: As team/name.
-      zones: Availability zones; the last one has no entry host here.
-      workers: Workers, each with one replica.
-      per_rack: How many to a rack.
+      service: Name of the service, as team/name.
+      zones: Availability zones; the last one has no entry host.
+      workers: Number of workers, each with one replica.
+      per_rack: Number of workers in a rack.
     """
 
     service: str
@@ -56,21 +56,21 @@
 )
 
 WAVE_SERVICE = 'noisy-team/wave'
-"""Served by the same upstreams, in the same slots."""
+"""Service of the noisy team, served by the same upstreams and slots."""
 
 
 @attrs.frozen
 class FleetOptions:
-    """What a fleet is like.
+    """Options of a `Fleet`.
 
     Attributes:
-      site: Zones and workers.
-      raw: The upstreams' slots and times.
-      variant: Router of the daemons; '' for the shipped one.
-      daemons: How many.
-      target_ms: Target of the service.
-      deadline_ms: Longest that a request may take.
-      wave_rate: Limit of the noisy team, in requests a second.
+      site: Service, zones and workers.
+      raw: Slots and response times of the upstreams.
+      variant: Name of the routing variant; '' for the shipped router.
+      daemons: Number of daemons.
+      target_ms: Latency target of the services.
+      deadline_ms: Deadline of a request.
+      wave_rate_limit: Rate limit of the noisy team, in requests per second.
     """
 
     site: Site
@@ -79,22 +79,22 @@
     daemons: int = 3
     target_ms: float = 1000.0
     deadline_ms: float = 4000.0
-    wave_rate: float = 0.0
+    wave_rate_limit: float = 0.0
 
 
 def read_cpu_seconds(process: Process) -> float:
-    """Returns the processor time that a process has used."""
+    """Returns the CPU time that a process has used, in seconds."""
     stat = pathlib.Path(f'/proc/{process.popen.pid}/stat').read_text('utf-8')
     fields = stat.rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 class Fleet:
-    """Processes of one variant, ready to be called.
+    """The processes of one routing variant, started by `async with`.
 
     Attributes:
-      options: What it is like.
-      capacity: Requests a second that full slots serve.
+      options: Options of the fleet.
+      capacity: Requests per second served when all slots are in use.
     """
 
     def __init__(self, options: FleetOptions):
@@ -110,7 +110,7 @@
         self._stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Fleet:
-        """Starts everything and waits until every replica runs."""
+        """Starts the processes and waits until all replicas run."""
         self._stack.enter_context(self.deployment)
         module = 'lentilmount.daemon'
         variant = self.options.variant
@@ -119,55 +119,55 @@
                 f'entry-{number}',
                 self.options.site.zones[number],
                 module if not variant else f'benchmarks.variants {variant}',
-                limits=LimitSettings(connections=MANY_CONNECTIONS),
+                limits=LimitSettings(connections=MAX_CONNECTIONS),
             )
         operators = self.daemons[0].addresses['operators']
-        self._caller = HttpClient(f'http://{operators}', 10.0)
-        self._stack.callback(self._caller.close)
-        await self._declare()
+        self._client = HttpClient(f'http://{operators}', 10.0)
+        self._stack.callback(self._client.close)
+        await self._create_resources()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Ends everything."""
+        """Stops the processes."""
         await self._stack.aclose()
 
     @property
     def daemons(self) -> list[Process]:
-        """The daemons' processes."""
+        """The processes of the daemons."""
         return list(self.deployment.daemons.values())
 
     @property
     def endpoints(self) -> dict[str, str]:
-        """Addresses of the raw upstreams, by worker."""
+        """Addresses of the raw upstreams, by worker name."""
         return self.deployment.options.endpoints
 
-    def list_zone(self, zone: str) -> list[str]:
-        """Returns the raw upstreams of a zone."""
+    def list_zone_addresses(self, zone: str) -> list[str]:
+        """Returns the addresses of the raw upstreams in a zone."""
         return [a for n, a in self.endpoints.items() if n.startswith(zone)]
 
     async def _call(self, method: str, path: str, value: Any = None) -> Any:
         body = None if value is None else json.dumps(value).encode()
-        answer = await self._caller.call(method, path, body, AUTHORIZATION)
-        if answer.status >= 400:
-            raise RuntimeError(f'{method} {path}: {answer.body.decode()}')
-        return json.loads(answer.body)
+        response = await self._client.call(method, path, body, AUTHORIZATION)
+        if response.status >= 400:
+            raise RuntimeError(f'{method} {path}: {response.body.decode()}')
+        return json.loads(response.body)
 
-    async def _declare(self) -> None:
+    async def _create_resources(self) -> None:
         await self._call(
             'POST',
             '/v1/teams',
             {
                 'kind': 'Team',
                 'metadata': {'name': 'noisy-team'},
-                'spec': {'requests_per_second': self.options.wave_rate},
+                'spec': {'requests_per_second': self.options.wave_rate_limit},
             },
         )
         for service in (self.options.site.service, WAVE_SERVICE):
-            await self._declare_service(service)
+            await self._create_service(service)
         for service in (self.options.site.service, WAVE_SERVICE):
-            await self._wait_for(service)
+            await self._wait_for_replicas(service)
 
-    async def _declare_service(self, service: str) -> None:
+    async def _create_service(self, service: str) -> None:
         team, _, name = service.partition('/')
         await self._call(
             'POST',
@@ -184,14 +184,16 @@
             },
         )
 
-    async def _wait_for(self, service: str) -> None:
-        until = time.monotonic() + READY_SECONDS
+    async def _wait_for_replicas(self, service: str) -> None:
+        deadline = time.monotonic() + READY_SECONDS
         wanted = f'{self.options.site.workers} of'
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             status = (await self._call('GET', f'/v1/services/{service}'))[
                 'status'
             ]
             if status['reason'].startswith(wanted):
                 return
             await asyncio.sleep(0.2)
-        raise RuntimeError(f'{service}: {status["reason"]}')
+        raise RuntimeError(
+            f'{service}: not all replicas run: {status["reason"]}'
+        )
--- a/benchmarks/fullsize.py
+++ b/benchmarks/fullsize.py
@@ -1,8 +1,9 @@
-"""The whole at the size that the users expect in two years.
+"""Measures a deployment of the size that the users expect in two years.
 
-690 workers of 6 availability zones behind a few stand-in processes, 2,900
-latency-critical and 5,800 batch tasks, two daemons a zone. What is measured
-is what one daemon spends on control, and how soon urgent work starts.
+It has 690 workers in 6 availability zones, simulated by a few stand-in
+processes, 2,900 latency-critical and 5,800 batch tasks, and two daemons per
+zone. The cost of control per daemon and the start delay of urgent jobs are
+measured.
 """
 
 from __future__ import annotations
@@ -39,11 +40,11 @@
 CORES_BOUND = 0.013
 MEMORY_BOUND_MB = 64.0
 URGENT_BOUND_SECONDS = 2.1
-PLACED_WITHIN_SECONDS = 240.0
+PLACEMENT_TIMEOUT_SECONDS = 240.0
 
 
 def make_options(scale: float) -> PlatformOptions:
-    """Builds the workers of a share of the full size."""
+    """Returns platform options with the workers of a share of the full size."""
     names = [f'zone-{number}' for number in range(ZONES)]
     workers = round(WORKERS * scale)
     return PlatformOptions(
@@ -53,8 +54,8 @@
     )
 
 
-def start(deployment: Deployment, scale: float) -> None:
-    """Starts the workers, a process for each zone, and the daemons."""
+def start_processes(deployment: Deployment, scale: float) -> None:
+    """Starts the daemons, and one process per zone for the workers."""
     for zone in make_options(scale).zones:
         options = attrs.evolve(make_options(scale), zones=(zone,))
         deployment.add_workers(zone.name, options)
@@ -67,7 +68,10 @@
 
 
 async def fill(bench: Bench, scale: float) -> None:
-    """Starts the services and the long jobs."""
+    """Starts the service and the long jobs.
+
+    Waits until all replicas and a sample of the jobs run.
+    """
     await bench.apply_service(round(REPLICAS * scale))
     count = round(JOBS * scale)
     await bench.submit_jobs('long', count, JOB_SECONDS)
@@ -78,31 +82,34 @@
 async def wait_for_phase(
     bench: Bench, name: str, number: int, phase: str
 ) -> None:
-    """Waits until a job is in a phase."""
+    """Waits until a job reaches a phase."""
     path = f'/v1/jobs/team-{number % 180}/{name}'
 
     async def check() -> bool:
         job = await bench.call('GET', path)
         return bool(job['status']['phase'] == phase)
 
-    await wait_until(check, PLACED_WITHIN_SECONDS, pause=0.05)
+    await wait_until(check, PLACEMENT_TIMEOUT_SECONDS, interval=0.05)
 
 
 async def measure_urgent(bench: Bench) -> list[float]:
-    """Returns how long urgent jobs took from submission to running."""
-    took = []
+    """Returns the sorted times from submission to running of urgent jobs.
+
+    The times are in seconds.
+    """
+    durations = []
     for number in range(URGENT_JOBS):
         job = make_job(f'urgent-{number}', number, JOB_SECONDS)
         job['spec']['urgency'] = 'urgent'
-        began = time.monotonic()
+        started_at = time.monotonic()
         await bench.call('POST', '/v1/jobs', job, number)
         await wait_for_phase(bench, f'urgent-{number}', number, 'running')
-        took.append(time.monotonic() - began)
-    return sorted(took)
+        durations.append(time.monotonic() - started_at)
+    return sorted(durations)
 
 
 def add_sample(report: Report, name: str, sample: Sample) -> None:
-    """Adds what the daemons cost and what they asked of the table."""
+    """Adds the resource usage of the daemons and their use of the table."""
     cores = sorted(sample.cost.cores)
     report.add(f'{name}/cores-mean', sum(cores) / len(cores), 'cores')
     report.add(f'{name}/cores-most', cores[-1], 'cores')
@@ -110,19 +117,19 @@
     report.add(f'{name}/table-reads', sample.reads, 'rows/s')
     report.add(f'{name}/table-writes', sample.writes, 'rows/s')
     report.add(f'{name}/table-calls', sample.calls, 'calls/s')
-    each = sample.sent / len(cores) / 1000
-    report.add(f'{name}/bytes-mean', each, 'KB/s a daemon')
+    per_daemon = sample.sent / len(cores) / 1000
+    report.add(f'{name}/bytes-mean', per_daemon, 'KB/s a daemon')
 
 
-async def run_whole(bench: Bench, report: Report, scale: float) -> None:
-    """Measures a filled deployment, at rest and at the peak of starts."""
-    began = time.monotonic()
+async def run_deployment(bench: Bench, report: Report, scale: float) -> None:
+    """Measures a full deployment at rest and at the peak rate of starts."""
+    started_at = time.monotonic()
     await fill(bench, scale)
-    report.add('full/fill', time.monotonic() - began, 's')
+    report.add('full/fill', time.monotonic() - started_at, 's')
     add_sample(report, 'full/rest', await bench.measure())
-    took = await measure_urgent(bench)
-    report.add('full/urgent-p50', took[len(took) // 2], 's')
-    report.add('full/urgent-most', took[-1], 's')
+    durations = await measure_urgent(bench)
+    report.add('full/urgent-p50', durations[len(durations) // 2], 's')
+    report.add('full/urgent-most', durations[-1], 's')
     rate = STARTS_PER_SECOND * scale
     count = int(rate * bench.seconds)
     add_sample(
@@ -134,16 +141,24 @@
     )
 
 
-def measure_whole(
+def measure_deployment(
     report: Report,
     seconds: float,
     scale: float = 1.0,
     times: TimeSettings = TIMES,
     on_start: Callable[[Deployment], None] | None = None,
 ) -> None:
-    """Adds the figures of a deployment of a share of the full size."""
+    """Measures a deployment of a share of the full size.
+
+    Args:
+      report: Report that the figures are added to.
+      seconds: Length of each measurement.
+      scale: Share of the full size.
+      times: Time settings of the daemons.
+      on_start: Called when the processes have been started.
+    """
     with Deployment(make_options(0.0), times) as deployment:
-        start(deployment, scale)
+        start_processes(deployment, scale)
         if on_start is not None:
             on_start(deployment)
 
@@ -151,7 +166,7 @@
             bench = Bench(deployment, seconds)
             bench.connect()
             try:
-                await run_whole(bench, report, scale)
+                await run_deployment(bench, report, scale)
             finally:
                 bench.close()
 
@@ -159,12 +174,12 @@
 
 
 def measure(quick: bool) -> Report:
-    """Measures the whole; a tenth of it in quick runs."""
+    """Measures the full size, or a tenth of it in quick runs."""
     report = Report('fullsize')
     seconds, scale = (10.0, 0.1) if quick else (30.0, 1.0)
     report.notes.append(
         f'{ZONES * DAEMONS_PER_ZONE} daemons, {scale:g} of the full size, '
         f'{TIMES.sync:g} s between two calls to a worker.'
     )
-    measure_whole(report, seconds, scale)
+    measure_deployment(report, seconds, scale)
     return report
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: requests are sent when they are due, whatever comes back.
+"""Open-loop load generator: requests are sent when due, not after responses.
 
-Latencies count from the time a request was due, so that a stalled system
-does not slow the load down and hide its own delay.
+Latencies are measured from the time a request was due, so that a stalled
+system does not slow the load down and hide its own delay.
 """
 
 from __future__ import annotations
@@ -17,22 +17,23 @@
 from hdrh.histogram import HdrHistogram
 
 HISTOGRAM_RANGE = (1, 60_000_000, 3)
-GIVE_UP_SECONDS = 1.0
-"""Time after the deadline when a caller stops waiting."""
+CALLER_GRACE_SECONDS = 1.0
+"""Time that a caller waits for a response beyond the timeout."""
 
 
 @attrs.frozen
 class Stream:
-    """One kind of load.
+    """A stream of requests to one service.
 
     Attributes:
-      service: As team/name.
-      rate: Requests a second.
-      begin: Seconds after the start of the run.
-      end: Seconds after the start of the run.
+      service: Name of the service, as team/name.
+      rate: Mean number of requests per second.
+      begin: Begin of the stream, in seconds from the start of the run.
+      end: End of the stream, in seconds from the start of the run.
       idempotent: Share of idempotent requests.
-      counted: Seconds after the start from which results count.
-      timeout: Seconds that the callers wait.
+      counted_from: Time from which results are counted, in seconds from the
+        start of the run; earlier requests are the warm-up.
+      timeout: Timeout of a request in seconds.
     """
 
     service: str
@@ -40,25 +41,25 @@
     begin: float
     end: float
     idempotent: float = 0.8
-    counted: float = 0.0
+    counted_from: float = 0.0
     timeout: float = 4.0
 
 
 @attrs.define
 class Tally:
-    """What the callers of one stream saw.
+    """Results of one stream, as seen by its callers.
 
     Attributes:
-      histogram: Microseconds until an answer or a failure; what was refused
-        at once and did not run is not in it.
-      sent: Requests counted.
-      answered: Whole answers to the caller's own request.
-      in_time: Those within the target.
-      refused: Answers that say that the request did not run.
-      failed: Everything else.
-      wrong: Answers that are not the caller's own.
-      not_run: Ids of requests said not to have run, counted or not.
-      once: Ids of non-idempotent requests, counted or not.
+      histogram: Time until a response or a failure, in microseconds, without
+        refused requests that did not run.
+      sent: Number of counted requests.
+      answered: Number of complete, successful responses.
+      in_time: Number of successful responses within the latency target.
+      refused: Number of responses which state that the request did not run.
+      failed: Number of other failures.
+      wrong: Number of responses that belong to another request.
+      reported_not_run: Ids of requests reported as not run, counted or not.
+      non_idempotent: Ids of non-idempotent requests, counted or not.
     """
 
     histogram: HdrHistogram = attrs.Factory(
@@ -70,18 +71,24 @@
     refused: int = 0
     failed: int = 0
     wrong: int = 0
-    not_run: set[str] = attrs.Factory(set)
-    once: set[str] = attrs.Factory(set)
+    reported_not_run: set[str] = attrs.Factory(set)
+    non_idempotent: set[str] = attrs.Factory(set)
 
-    def get_millis(self, percentile: float) -> float:
-        """Returns a percentile of the answers' times."""
+    def get_percentile_ms(self, percentile: float) -> float:
+        """Returns a percentile of the histogram in milliseconds."""
         value: int = self.histogram.get_value_at_percentile(percentile)
         return value / 1000
 
 
 @attrs.frozen
-class Answer:
-    """An HTTP answer as it was read."""
+class Response:
+    """An HTTP response.
+
+    Attributes:
+      status: Status code.
+      ran: Value of the Lentilmount-Ran header, or an empty string.
+      body: Body.
+    """
 
     status: int
     ran: str
@@ -89,26 +96,26 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One kept-alive connection with one request at a time."""
+    """A persistent connection that carries one request at a time."""
 
     def __init__(self) -> None:
-        self.answer: asyncio.Future[Answer] | None = None
+        self.response: asyncio.Future[Response] | None = None
         self.transport: asyncio.Transport | None = None
         self._buffer = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails the request that waits."""
+        """Fails the pending request, if any."""
         self.transport = None
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionResetError())
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(ConnectionResetError())
 
     def data_received(self, data: bytes) -> None:
-        """Ends the request when its answer is whole."""
+        """Completes the pending request when its response is complete."""
         self._buffer += data
         head, found, rest = self._buffer.partition(b'\r\n\r\n')
         if not found:
@@ -124,13 +131,13 @@
         if len(rest) < length:
             return
         self._buffer = b''
-        if self.answer is not None and not self.answer.done():
+        if self.response is not None and not self.response.done():
             status = int(lines[0].split(' ')[1])
-            self.answer.set_result(Answer(status, ran, rest))
+            self.response.set_result(Response(status, ran, rest))
 
 
 class Client:
-    """Sends requests to one address over as many connections as it takes."""
+    """Sends requests to one address over as many connections as needed."""
 
     def __init__(self, address: str, token: str = ''):
         self._host, _, port = address.rpartition(':')
@@ -145,16 +152,16 @@
         body: bytes,
         idempotent: bool,
         timeout: float,
-    ) -> Answer:
-        """Posts one request.
+    ) -> Response:
+        """Sends one POST request.
 
         Raises:
-          OSError: The connection was refused or cut.
-          TimeoutError: No answer.
+          OSError: The connection was refused or lost.
+          TimeoutError: No response within the timeout and the grace period.
         """
         connection = await self._get_connection()
         loop = asyncio.get_running_loop()
-        connection.answer = loop.create_future()
+        connection.response = loop.create_future()
         head = (
             f'POST {path} HTTP/1.1\r\nHost: {self._host}\r\n'
             f'Authorization: Bearer {self._token}\r\n'
@@ -166,14 +173,14 @@
         assert connection.transport is not None
         connection.transport.write(head.encode() + body)
         try:
-            async with asyncio.timeout(timeout + GIVE_UP_SECONDS):
-                answer = await connection.answer
+            async with asyncio.timeout(timeout + CALLER_GRACE_SECONDS):
+                response = await connection.response
         except (OSError, TimeoutError):
             if connection.transport is not None:
                 connection.transport.abort()
             raise
         self._idle.append(connection)
-        return answer
+        return response
 
     async def _get_connection(self) -> _Connection:
         while self._idle:
@@ -194,7 +201,7 @@
 
 
 class Load:
-    """Sends streams of requests to several daemons in turn, at random."""
+    """Sends streams of requests, each to a randomly chosen daemon."""
 
     def __init__(self, clients: Sequence[Client], target: float, seed: int):
         self._clients = clients
@@ -203,7 +210,7 @@
         self._sent = 0
 
     async def run(self, name: str, streams: Sequence[Stream]) -> list[Tally]:
-        """Sends every stream and waits for what comes back."""
+        """Sends all streams and returns their results, in the same order."""
         tallies = [Tally() for _ in streams]
         start = time.monotonic()
         await asyncio.gather(
@@ -222,7 +229,7 @@
             wait = start + due - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            counted = due >= stream.counted
+            counted = due >= stream.counted_from
             task = asyncio.create_task(
                 self._send(name, stream, tally, start + due, counted)
             )
@@ -245,45 +252,45 @@
         request = f'{name}-{self._sent}'
         idempotent = self._random.random() < stream.idempotent
         if not idempotent:
-            tally.once.add(request)
+            tally.non_idempotent.add(request)
         tally.sent += counted
         client = self._random.choice(self._clients)
         path = f'/call/{stream.service}/check'
         body = request.encode()
         try:
-            answer = await client.send(
+            response = await client.send(
                 path, request, body, idempotent, stream.timeout
             )
         except (OSError, TimeoutError):
             self._count_failure(tally, due, counted)
             return
-        self._count(tally, request, answer, due, counted)
+        self._count(tally, request, response, due, counted)
 
     def _count(
         self,
         tally: Tally,
         request: str,
-        answer: Answer,
+        response: Response,
         due: float,
         counted: bool,
     ) -> None:
-        if answer.status == 200:
+        if response.status == 200:
             seconds = time.monotonic() - due
-            tally.wrong += answer.body != b'POST ' + request.encode()
+            tally.wrong += response.body != b'POST ' + request.encode()
             if counted:
                 tally.answered += 1
                 tally.in_time += seconds <= self._target
                 _record(tally, seconds)
             return
-        if answer.ran == 'no':
-            tally.not_run.add(request)
+        if response.ran == 'no':
+            tally.reported_not_run.add(request)
             tally.refused += counted
             return
         self._count_failure(tally, due, counted)
 
     def _count_failure(self, tally: Tally, due: float, counted: bool) -> None:
-        # Callers that waited for nothing waited all the same: without them
-        # the tail would look best where the most requests fail.
+        # Failed requests count with the time that the callers waited:
+        # without them the tail would look best where most requests fail.
         if counted:
             tally.failed += 1
             _record(tally, time.monotonic() - due)
@@ -293,11 +300,13 @@
     tally.histogram.record_value(max(1, int(seconds * 1e6)))
 
 
-async def control(address: str, path: str, value: object) -> dict[str, object]:
-    """Sets switches of a raw upstream, or reads its record."""
+async def send_control(
+    address: str, path: str, value: object
+) -> dict[str, object]:
+    """Sets the faults of a raw upstream, or reads its record of requests."""
     client = Client(address)
     body = json.dumps(value).encode()
-    answer = await client.send(path, 'control', body, True, 10.0)
+    response = await client.send(path, 'control', body, True, 10.0)
     client.close()
-    reply: dict[str, object] = json.loads(answer.body)
+    reply: dict[str, object] = json.loads(response.body)
     return reply
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -1,8 +1,8 @@
-"""What heartbeats cost by the number of daemons: bytes, messages, time.
+"""Measures bytes, messages and CPU time of heartbeats by number of daemons.
 
-Every daemon's part that writes and reads heartbeats runs in this process, on
-streams in memory that count what goes over them. What the streams themselves
-cost is measured apart, on one real connection.
+The heartbeat code of all daemons runs in this process, on in-memory streams
+that count messages and bytes. The cost of the transport is measured
+separately, on one real connection.
 """
 
 from __future__ import annotations
@@ -26,63 +26,63 @@
 SILENCE_SECONDS = 2.0
 ZONE_LINKS = 2
 FRAME_BYTES = 9 + 5 + 40
-"""Headers of HTTP/2, gRPC, and TCP with IP, for each message."""
+"""Size of the HTTP/2, gRPC and TCP/IP headers of each message."""
 
 CHANGES_PER_SECOND = 37.0
-"""Entries of the slices' logs at the full size: a task start each."""
+"""Rate of log entries of all slices at full size: one for each task start."""
 
 
 @attrs.define
 class Counts:
-    """What one daemon sent and received."""
+    """Messages and bytes sent and received by one daemon."""
 
     messages: int = 0
     sent_bytes: int = 0
     received_bytes: int = 0
 
 
-class _End:
-    """One end of a stream in memory."""
+class _StreamEnd:
+    """One end of an in-memory stream."""
 
     def __init__(self, counts: Counts):
         self.counts = counts
         self.queue: asyncio.Queue[peer_pb2.Heartbeat] = asyncio.Queue()
-        self.other = self
+        self.peer = self
 
     async def send_message(self, message: peer_pb2.Heartbeat) -> None:
         data = message.SerializeToString()
         self.counts.messages += 1
         self.counts.sent_bytes += len(data) + FRAME_BYTES
-        self.other.counts.received_bytes += len(data) + FRAME_BYTES
-        await self.other.queue.put(peer_pb2.Heartbeat.FromString(data))
+        self.peer.counts.received_bytes += len(data) + FRAME_BYTES
+        await self.peer.queue.put(peer_pb2.Heartbeat.FromString(data))
 
     async def recv_message(self) -> peer_pb2.Heartbeat | None:
         return await self.queue.get()
 
 
-class _Node:
-    """What a daemon has to do with heartbeats."""
+class _Daemon:
+    """The heartbeat part of a daemon."""
 
     def __init__(self, me: Member, clock: SystemClock, slices: Sequence[str]):
         self.membership = Membership(me, SILENCE_SECONDS, clock.monotonic)
         self.counts = Counts()
         self.news = News(1, dict.fromkeys(slices, 0), dict.fromkeys(slices, 0))
         self.courier = Courier(
-            self.membership, HybridClock(clock), lambda: self.news, self._take
+            self.membership, HybridClock(clock), lambda: self.news, self._apply
         )
 
-    def _take(self, news: News) -> None:
+    def _apply(self, news: News) -> None:
         for name, sequence in news.sequences.items():
             if sequence > self.news.sequences.get(name, -1):
                 self.news.sequences[name] = sequence
                 self.news.origins[name] = news.zone
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             self.membership.advance_beat()
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def change(self, slice_name: str, per_second: float) -> None:
+    async def append_changes(self, slice_name: str, per_second: float) -> None:
         while True:
             await asyncio.sleep(1.0 / per_second)
             self.news.sequences[slice_name] += 1
@@ -91,33 +91,35 @@
 
 @attrs.frozen
 class MeshCost:
-    """What one daemon spends on heartbeats, on average and at most.
+    """Cost of heartbeats per daemon.
 
     Attributes:
-      messages: Messages sent a second, on average.
-      cores: Share of a core for writing and reading them, on average.
-      sent_bytes: Bytes sent a second, on average.
-      most_bytes: Bytes sent and received a second by the busiest daemon.
-      up: Least number of daemons that one sees up at the end.
+      messages: Mean number of messages sent per second.
+      cores: Mean CPU usage for writing and reading heartbeats, in cores.
+      sent_bytes: Mean number of bytes sent per second.
+      max_bytes: Bytes sent and received per second by the busiest daemon.
+      min_active: Minimum number of daemons that a daemon sees as active at the
+        end.
     """
 
     messages: float
     cores: float
     sent_bytes: float
-    most_bytes: float
-    up: int
+    max_bytes: float
+    min_active: int
 
 
 async def measure_mesh(
     zones: int, per_zone: int, seconds: float, is_full: bool = False
 ) -> MeshCost:
-    """Measures the mesh of a deployment.
+    """Measures the heartbeats of a deployment.
 
     Args:
-      zones: How many availability zones.
-      per_zone: How many daemons, and slices, each has.
-      seconds: How long to measure.
-      is_full: Whether each daemon talks to each, to compare with.
+      zones: Number of availability zones.
+      per_zone: Number of daemons, and of slices, in each zone.
+      seconds: Length of the measurement.
+      is_full: Whether each daemon is connected to all others (a full mesh,
+        for comparison).
     """
     clock = SystemClock()
     members = [
@@ -126,26 +128,28 @@
         for n in range(per_zone)
     ]
     slices = [f'zone-{z}/{n}' for z in range(zones) for n in range(per_zone)]
-    nodes = {m.name: _Node(m, clock, slices) for m in members}
-    work = []
+    nodes = {m.name: _Daemon(m, clock, slices) for m in members}
+    coroutines = []
     for node in nodes.values():
         node.membership.observe(members)
-        work.append(node.beat())
+        coroutines.append(node.send_heartbeats())
     for slice_name, node in zip(slices, nodes.values(), strict=True):
-        work.append(node.change(slice_name, CHANGES_PER_SECOND / len(slices)))
+        coroutines.append(
+            node.append_changes(slice_name, CHANGES_PER_SECOND / len(slices))
+        )
     for one, two in _list_pairs(nodes, is_full):
-        ends = _End(nodes[one].counts), _End(nodes[two].counts)
-        ends[0].other, ends[1].other = ends[1], ends[0]
+        ends = _StreamEnd(nodes[one].counts), _StreamEnd(nodes[two].counts)
+        ends[0].peer, ends[1].peer = ends[1], ends[0]
         for name, end in zip((one, two), ends, strict=True):
-            work.append(_converse(nodes[name], end))
-    tasks = [asyncio.create_task(some) for some in work]
+            coroutines.append(_converse(nodes[name], end))
+    tasks = [asyncio.create_task(some) for some in coroutines]
     await asyncio.sleep(2 * HEARTBEAT_SECONDS)
     for node in nodes.values():
         node.counts.messages = node.counts.sent_bytes = 0
         node.counts.received_bytes = 0
-    used = time.process_time()
+    cpu_seconds = time.process_time()
     await asyncio.sleep(seconds)
-    used = time.process_time() - used
+    cpu_seconds = time.process_time() - cpu_seconds
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -153,7 +157,7 @@
     share = seconds * len(nodes)
     return MeshCost(
         sum(c.messages for c in counts) / share,
-        used / share,
+        cpu_seconds / share,
         sum(c.sent_bytes for c in counts) / share,
         max(c.sent_bytes + c.received_bytes for c in counts) / seconds,
         min(len(node.membership.list_active()) for node in nodes.values()),
@@ -161,7 +165,7 @@
 
 
 def _list_pairs(
-    nodes: dict[str, _Node], is_full: bool
+    nodes: dict[str, _Daemon], is_full: bool
 ) -> list[tuple[str, str]]:
     if is_full:
         return [(one, two) for one in nodes for two in nodes if one < two]
@@ -173,7 +177,7 @@
     ]
 
 
-async def _converse(node: _Node, end: _End) -> None:
+async def _converse(node: _Daemon, end: _StreamEnd) -> None:
     await converse(
         end,
         node.courier,
@@ -184,8 +188,8 @@
     )
 
 
-class _Echo(peer_grpc.PeerBase):
-    """Answers each heartbeat with itself; serves a unary call as well."""
+class _EchoService(peer_grpc.PeerBase):
+    """Echoes heartbeats on a stream, and serves a unary call."""
 
     async def Exchange(  # noqa: N802
         self, stream: Stream[peer_pb2.Heartbeat, peer_pb2.Heartbeat]
@@ -210,13 +214,13 @@
 
 
 async def measure_transport(rounds: int) -> tuple[float, float]:
-    """Measures what carrying a message costs on a real connection.
+    """Measures the cost of messages on a real connection.
 
     Returns:
-      Processor seconds, both ends together, of a message and its answer on
-      an open stream, and of a unary call.
+      CPU time in seconds, of both ends together, of a message and its
+      response on an open stream, and of a unary call.
     """
-    server = Server([_Echo()])
+    server = Server([_EchoService()])
     (bound,) = bind_sockets(0, '127.0.0.1')
     await server.start(sock=bound)
     channel = Channel('127.0.0.1', bound.getsockname()[1])
@@ -226,18 +230,18 @@
         async with stub.Exchange.open() as stream:
             await stream.send_message(message)
             await stream.recv_message()
-            used = time.process_time()
+            cpu_seconds = time.process_time()
             for _ in range(rounds):
                 await stream.send_message(message)
                 await stream.recv_message()
-            streamed = (time.process_time() - used) / rounds
+            streamed = (time.process_time() - cpu_seconds) / rounds
             await stream.end()
         nudge = peer_pb2.Nudge(slice='a/0')
         await stub.Wake(nudge)
-        used = time.process_time()
+        cpu_seconds = time.process_time()
         for _ in range(rounds):
             await stub.Wake(nudge)
-        unary = (time.process_time() - used) / rounds
+        unary = (time.process_time() - cpu_seconds) / rounds
     finally:
         channel.close()
         server.close()
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,7 +1,8 @@
-"""The least that a proxied request costs: tornado in, curl out, no more.
+"""A minimal proxy (tornado server, curl client) as a baseline of the cost.
 
-`python -m benchmarks.passthrough FILE` prints the address it listens on; FILE
-holds the upstreams' addresses as JSON, which take turns.
+`python -m benchmarks.passthrough FILE` prints the address it listens on. FILE
+holds the addresses of the upstreams as a JSON list; requests are sent to them
+in round-robin order.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from tornado.web import Application, RequestHandler
 
 
-class PassHandler(RequestHandler):
-    """Passes a request on."""
+class ForwardingHandler(RequestHandler):
+    """Forwards a request to the next upstream."""
 
     def initialize(
         self, turns: Iterator[str], client: CurlAsyncHTTPClient
     ) -> None:
-        """Keeps where requests go."""
+        """Stores the upstream iterator and the HTTP client."""
         self.turns = turns
         self.client = client
 
     async def post(self) -> None:
-        """Answers with the upstream's answer."""
+        """Forwards the request and returns the response of the upstream."""
         headers = self.request.headers
         response = await self.client.fetch(
             f'http://{next(self.turns)}{self.request.path}',
@@ -44,11 +45,13 @@
 
 
 async def serve(upstreams: list[str]) -> None:
-    """Serves until ended."""
+    """Listens on a free port and serves until the process is stopped."""
     client = CurlAsyncHTTPClient(force_instance=True, max_clients=512)
-    parts = {'turns': itertools.cycle(upstreams), 'client': client}
+    handler_options = {'turns': itertools.cycle(upstreams), 'client': client}
     (socket,) = bind_sockets(0, '127.0.0.1')
-    HTTPServer(Application([('.*', PassHandler, parts)])).add_socket(socket)
+    HTTPServer(
+        Application([('.*', ForwardingHandler, handler_options)])
+    ).add_socket(socket)
     print(json.dumps({'callers': f'127.0.0.1:{socket.getsockname()[1]}'}))
     sys.stdout.flush()
     await asyncio.Event().wait()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Time of a placement decision, at the size of the future and around it.
+"""Measures the time of placement decisions at several cluster sizes.
 
-The scheduler's real path is timed: queue, fair share, learned size, index and
-price of interference, for one task that starts in a cluster that is full as
-in service, while another ends.
+The sizes are around the expected full size. The production scheduler is timed
+with its queue, fair shares, learned demands, index and cost of interference:
+one task starts in a cluster as full as in production, while another ends.
 """
 
 from __future__ import annotations
@@ -39,25 +39,26 @@
 SERVICES = 2900
 JOBS = 5800
 TEAMS = 180
-STARTS_A_SECOND = 37
+STARTS_PER_SECOND = 37
 SIZES = (172, 345, 690, 1380)
 SECONDS = 20
 QUICK_SECONDS = 6
 BACKLOG = 2000
-"""Tasks that fit nowhere and wait meanwhile."""
+"""Number of pending tasks that fit on no worker, at full size."""
 
 SEED = 7
-MOST_MS = 5.0
-MOST_GROWTH = 1.0
+MAX_DECISION_MS = 5.0
+MAX_GROWTH_RATIO = 1.0
 
 
 @attrs.define
 class Timing:
-    """Times in milliseconds.
+    """Measured times in milliseconds.
 
     Attributes:
-      decisions: Of each decision: one task is placed, or has to wait.
-      passes: Of each pass over the queue, which makes some decisions.
+      decisions: Time of each decision, which places one task or leaves it
+        pending.
+      passes: Time of each pass over the queue, which makes several decisions.
     """
 
     decisions: list[float] = attrs.Factory(list)
@@ -65,31 +66,36 @@
 
 
 def get_quantile(times: list[float], share: float) -> float:
-    """Returns a quantile of some times."""
+    """Returns a quantile of times.
+
+    Args:
+      times: The times, in any order.
+      share: Quantile, from 0 to 1.
+    """
     return sorted(times)[min(len(times) - 1, int(share * len(times)))]
 
 
 def time_calls(call: Callable[..., Any], times: list[float]) -> Any:
-    """Returns a function that also notes how long each call took."""
+    """Returns a wrapper that appends the time of each call in milliseconds."""
 
     def timed(*args: Any) -> Any:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         try:
             return call(*args)
         finally:
-            times.append((time.perf_counter() - began) * 1000)
+            times.append((time.perf_counter() - started_at) * 1000)
 
     return timed
 
 
-class Cluster:
-    """A cluster that is as full as in service."""
+class SimulatedCluster:
+    """A simulated cluster that is as full as in production."""
 
     def __init__(self, workers: int):
         self.rng = random.Random(f'{SEED}/{workers}')
         self.clock = ManualClock()
         self.rows = MemorySlice()
-        part = workers / WORKERS
+        scale = workers / WORKERS
         with_accelerators = int(workers * 125 / WORKERS)
         self.rows.add_workers(
             Room(64.0, 256_000, 8)
@@ -114,7 +120,7 @@
             self.rows, self.sessions, configuration, 1, self.clock.monotonic
         )
         self._count = 0
-        self._fill(int(SERVICES * part), int(JOBS * part))
+        self._fill(int(SERVICES * scale), int(JOBS * scale))
 
     def _fill(self, services: int, jobs: int) -> None:
         self.rows.admit(*(self.make_service(n) for n in range(services)))
@@ -124,7 +130,7 @@
             self.run(task)
 
     def make_service(self, number: int) -> Task:
-        """Makes a replica of one of many services."""
+        """Returns a replica of one of many services."""
         team = number % TEAMS
         return Task(
             f'Service/team-{team}/desk-{number % 97}/{number}',
@@ -134,7 +140,7 @@
         )
 
     def make_job(self, urgency: Urgency = Urgency.BATCH) -> Task:
-        """Makes a job of a random size."""
+        """Returns a job with a random demand."""
         self._count += 1
         team = self.rng.randrange(TEAMS)
         return Task(
@@ -150,7 +156,7 @@
         )
 
     def place_all(self) -> None:
-        """Places what is pending."""
+        """Places all pending tasks that fit."""
         more = True
         while more:
             draft = self.rows.begin()
@@ -158,14 +164,14 @@
             self.rows.apply(draft)
 
     def run(self, task: Task) -> None:
-        """Lets a task that was placed run."""
+        """Marks a placed task as running."""
         if task.phase is Phase.STARTING:
             draft = self.rows.begin()
             draft.transition(task, Transition.STARTED)
             self.rows.apply(draft)
 
-    def end_one(self) -> None:
-        """Lets a random job end."""
+    def end_random_job(self) -> None:
+        """Finishes a random job."""
         while True:
             record = self.rng.choice(list(self.rows.workers.values()))
             jobs = [n for n in record.commitments if n.startswith('Job/')]
@@ -177,7 +183,7 @@
                 return
 
     def add_backlog(self, count: int) -> None:
-        """Adds jobs that fit on no worker now."""
+        """Adds jobs that fit on no worker at present."""
         self.rows.admit(
             *(
                 Task(
@@ -191,8 +197,8 @@
 
 
 def time_decisions(workers: int, seconds: int) -> Timing:
-    """Times single starts in a cluster of a size."""
-    cluster = Cluster(workers)
+    """Times single starts in a cluster with a number of workers."""
+    cluster = SimulatedCluster(workers)
     cluster.add_backlog(int(BACKLOG * workers / WORKERS))
     cluster.place_all()
     timing = Timing()
@@ -200,15 +206,15 @@
     decide = time_calls(scheduler._try_place, timing.decisions)
     scheduler._try_place = decide  # type: ignore[method-assign]
     place = time_calls(cluster.policy.place, timing.passes)
-    starts = STARTS_A_SECOND * seconds
+    starts = STARTS_PER_SECOND * seconds
     gc.collect()
     for start in range(starts):
-        cluster.end_one()
-        # As in service: one start in three is urgent, and time goes on.
+        cluster.end_random_job()
+        # As in production, every third start is urgent and time advances.
         urgent = Urgency.URGENT if start % 3 == 0 else Urgency.BATCH
         task = cluster.make_job(urgent)
         cluster.rows.admit(task)
-        cluster.clock.advance(1 / STARTS_A_SECOND)
+        cluster.clock.advance(1 / STARTS_PER_SECOND)
         draft = cluster.rows.begin()
         place(draft)
         cluster.rows.apply(draft)
@@ -218,11 +224,11 @@
 
 
 def measure(quick: bool) -> Report:
-    """Times decisions at several sizes."""
+    """Times decisions at several cluster sizes."""
     seconds = QUICK_SECONDS if quick else SECONDS
     report = Report('placement')
     report.notes.append(
-        f'One process, one task placed at a time, {STARTS_A_SECOND} starts a '
+        f'One process, one task placed at a time, {STARTS_PER_SECOND} starts a '
         f'second for {seconds} s, {TEAMS} teams; {ACCELERATORS} accelerators, '
         f'{SERVICES} services and {JOBS} jobs at {WORKERS} workers, and in '
         f'proportion at the other sizes, with {BACKLOG} jobs that fit '
@@ -232,7 +238,7 @@
     )
     timings = {size: time_decisions(size, seconds) for size in SIZES}
     for size, timing in timings.items():
-        _add(report, size, timing)
+        _add_timing(report, size, timing)
     small, large = SIZES[0], SIZES[-1]
     medians = {s: get_quantile(t.passes, 0.5) for s, t in timings.items()}
     growth = medians[large] / medians[small]
@@ -243,15 +249,15 @@
     report.add(
         'growth of a pass over that of the log of workers',
         growth / allowed,
-        most=MOST_GROWTH,
+        most=MAX_GROWTH_RATIO,
     )
     return report
 
 
-def _add(report: Report, size: int, timing: Timing) -> None:
+def _add_timing(report: Report, size: int, timing: Timing) -> None:
     decisions = timing.decisions
     case = f'{size} workers'
-    bound = MOST_MS if size == WORKERS else None
+    bound = MAX_DECISION_MS if size == WORKERS else None
     report.add(f'{case}/decision p50', get_quantile(decisions, 0.5), 'ms')
     report.add(
         f'{case}/decision p99', get_quantile(decisions, 0.99), 'ms', most=bound
--- a/benchmarks/probes.py
+++ b/benchmarks/probes.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-TICKS = os.sysconf('SC_CLK_TCK')
+CLOCK_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 CPU_FIELDS = slice(11, 13)
 """Fields of /proc/PID/stat with user and system time, counted from the
 closing bracket of the command name."""
@@ -20,7 +20,7 @@
     """Returns the CPU time that a process has used, in seconds."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text()
     fields = text.rpartition(')')[2].split()
-    return sum(map(int, fields[CPU_FIELDS])) / TICKS
+    return sum(map(int, fields[CPU_FIELDS])) / CLOCK_TICKS_PER_SECOND
 
 
 def read_memory(pid: int) -> float:
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -1,8 +1,8 @@
-"""How fast a configuration is in force, and how fast daemons notice cuts.
+"""Measures the propagation of configurations and the detection of failures.
 
-Real daemons on a stand-in platform. A revision counts as in force on a daemon
-at the time-line event that says so; it counts as accepted when the table
-wrote it. Both clocks are of this machine.
+Real daemons run on a stand-in platform. A revision is accepted when the table
+service writes it, and in force on a daemon at the time of its timeline event.
+Both times come from the clocks of this host.
 """
 
 from __future__ import annotations
@@ -34,12 +34,13 @@
 BOUND_SECONDS = 3.0
 CHANGES_PER_DAY = 1900
 COMPRESSION = 90.0
-"""A day's changes in 16 minutes: two a second in place of one in 45 s."""
+"""Factor on the rate of changes: the changes of a day in 16 minutes, or two
+per second instead of one in 45 s."""
 
 BURST = 100
 OUTAGE_SECONDS = 5.0
 IDLE_SECONDS = 10.0
-ACCESS = {'Authorization': f'Bearer {ADMIN_TOKEN}'}
+AUTHORIZATION = {'Authorization': f'Bearer {ADMIN_TOKEN}'}
 HISTOGRAM_RANGE = (1, 600_000, 3)
 TIMES = TimeSettings()
 
@@ -50,74 +51,84 @@
 
     Attributes:
       deployment: Its processes.
-      daemons: Its daemons.
-      callers: A client for each daemon's resource API.
+      daemons: The processes of its daemons.
+      clients: Clients of the resource API, one for each daemon.
     """
 
     deployment: Deployment
     daemons: list[Process]
-    callers: list[HttpClient]
+    clients: list[HttpClient]
 
-    async def ask(self, index: int, method: str, path: str, body: Any) -> Any:
-        """Calls the resource API of a daemon."""
+    async def call(self, index: int, method: str, path: str, body: Any) -> Any:
+        """Calls the resource API of a daemon and returns the JSON response.
+
+        Raises:
+          RuntimeError: The daemon returned an error.
+        """
         data = None if body is None else json.dumps(body).encode()
-        answer = await self.callers[index].call(method, path, data, ACCESS)
-        if answer.status >= 400:
-            raise RuntimeError(f'{path}: {answer.body.decode()}')
-        return json.loads(answer.body)
+        response = await self.clients[index].call(
+            method, path, data, AUTHORIZATION
+        )
+        if response.status >= 400:
+            raise RuntimeError(f'{path}: {response.body.decode()}')
+        return json.loads(response.body)
 
-    async def apply(self, index: int, team: str) -> None:
-        """Has one change accepted by a daemon."""
+    async def apply_change(self, index: int, team: str) -> None:
+        """Applies one configuration change through a daemon."""
         resource = {
             'kind': 'Team',
             'metadata': {'name': team},
             'spec': {'weight': 2.0},
         }
-        await self.ask(index, 'POST', '/v1/teams', resource)
+        await self.call(index, 'POST', '/v1/teams', resource)
 
     async def read_events(self, kind: str, since: float) -> list[Any]:
-        """Returns the events of one kind of all daemons."""
+        """Returns the events of one kind from all daemons."""
         path = f'/v1/timeline?since_ms={int(since * 1000)}&limit=8000'
-        line = await self.ask(0, 'GET', path, None)
+        line = await self.call(0, 'GET', path, None)
         return [event for event in line['events'] if event['kind'] == kind]
 
     async def read_table(self, path: str = '/_stats') -> Any:
-        """Returns what the table counted."""
-        caller = HttpClient(self.deployment.platform.addresses['table'])
+        """Returns the statistics of the table service."""
+        client = HttpClient(self.deployment.platform.addresses['table'])
         try:
-            return json.loads((await caller.call('GET', path)).body)
+            return json.loads((await client.call('GET', path)).body)
         finally:
-            caller.close()
+            client.close()
 
-    async def set_fault(self, **faults: Any) -> None:
-        """Sets the table's faults."""
-        caller = HttpClient(self.deployment.platform.addresses['table'])
+    async def set_faults(self, **faults: Any) -> None:
+        """Sets the faults of the table service."""
+        client = HttpClient(self.deployment.platform.addresses['table'])
         try:
-            await caller.call('POST', '/_faults', json.dumps(faults).encode())
+            await client.call('POST', '/_faults', json.dumps(faults).encode())
         finally:
-            caller.close()
+            client.close()
 
     async def wait_for(
-        self, is_met: Callable[[Any], bool], seconds: float = 60.0
+        self, condition: Callable[[Any], bool], seconds: float = 60.0
     ) -> None:
-        """Waits until each daemon's status is as wanted."""
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        """Waits until the status of every daemon meets a condition.
+
+        Raises:
+          RuntimeError: The condition is not met in time.
+        """
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             states = [
-                await self.ask(i, 'GET', '/v1/status', None)
-                for i in range(len(self.callers))
+                await self.call(i, 'GET', '/v1/status', None)
+                for i in range(len(self.clients))
             ]
-            if all(map(is_met, states)):
+            if all(map(condition, states)):
                 return
             await asyncio.sleep(0.2)
-        raise RuntimeError(f'the daemons are not as wanted: {states}')
+        raise RuntimeError(f'a daemon does not meet the condition: {states}')
 
 
 @contextlib.asynccontextmanager
 async def open_bench(
     count: int, times: TimeSettings = TIMES
 ) -> AsyncIterator[Bench]:
-    """Starts daemons spread over four zones until all see each other."""
+    """Starts daemons in four zones and waits until all see each other."""
     room = Room(32.0, 64 * 1024, 0)
     options = PlatformOptions(make_zones(ZONES, len(ZONES), 1, room))
     with contextlib.ExitStack() as stack:
@@ -126,13 +137,13 @@
             deployment.start_daemon(f'entry-{n}', ZONES[n % len(ZONES)])
             for n in range(count)
         ]
-        callers = []
+        clients = []
         for daemon in daemons:
             address = daemon.addresses['operators']
-            callers.append(HttpClient(f'http://{address}', 30.0))
-            stack.callback(callers[-1].close)
-        bench = Bench(deployment, daemons, callers)
-        await bench.apply(0, 'first')
+            clients.append(HttpClient(f'http://{address}', 30.0))
+            stack.callback(clients[-1].close)
+        bench = Bench(deployment, daemons, clients)
+        await bench.apply_change(0, 'first')
         await bench.wait_for(
             lambda s: len(s['members']) == count and s['revision'] == 1
         )
@@ -140,7 +151,10 @@
 
 
 async def read_delays(bench: Bench, since: float) -> HdrHistogram:
-    """Returns the milliseconds from each acceptance to each daemon."""
+    """Returns the delays from acceptance to being in force on each daemon.
+
+    The delays are in milliseconds.
+    """
     stats = await bench.read_table('/_stats?history=1')
     offset = time.time() - time.monotonic()
     accepted = {
@@ -154,7 +168,7 @@
         at = event['stamp']['millis'] / 1000
         in_force.setdefault(event['daemon'], {})[revision] = at
     if len(in_force) != len(bench.daemons):
-        raise RuntimeError('a daemon told of no revision')
+        raise RuntimeError('a daemon has no event of a revision in force')
     delays = HdrHistogram(*HISTOGRAM_RANGE)
     for times in in_force.values():
         for revision, at in accepted.items():
@@ -166,45 +180,49 @@
 
 
 async def measure_steady(bench: Bench, seconds: float) -> HdrHistogram:
-    """Has changes accepted at the users' rate, compressed."""
-    since, until = time.time(), time.monotonic() + seconds
-    randoms = random.Random(1)
+    """Applies changes at the compressed rate and returns their delays."""
+    since, deadline = time.time(), time.monotonic() + seconds
+    rng = random.Random(1)
     rate = CHANGES_PER_DAY / 86400 * COMPRESSION
     number = 0
-    while time.monotonic() < until:
-        await asyncio.sleep(randoms.expovariate(rate))
-        index = randoms.randrange(len(bench.daemons))
-        await bench.apply(index, f'steady-{number}')
+    while time.monotonic() < deadline:
+        await asyncio.sleep(rng.expovariate(rate))
+        index = rng.randrange(len(bench.daemons))
+        await bench.apply_change(index, f'steady-{number}')
         number += 1
     await asyncio.sleep(BOUND_SECONDS)
     return await read_delays(bench, since)
 
 
 async def measure_burst(bench: Bench) -> HdrHistogram:
-    """Has many changes accepted at once, through every daemon."""
+    """Applies many changes at once through all daemons."""
     since = time.time()
     count = len(bench.daemons)
     await asyncio.gather(
-        *(bench.apply(n % count, f'burst-{n}') for n in range(BURST))
+        *(bench.apply_change(n % count, f'burst-{n}') for n in range(BURST))
     )
     await asyncio.sleep(BOUND_SECONDS)
     return await read_delays(bench, since)
 
 
 async def measure_detection(bench: Bench) -> tuple[list[float], list[float]]:
-    """Pauses a daemon; returns when others saw it down, and up again."""
+    """Pauses and resumes a daemon; returns the detection times in seconds.
+
+    The first list has the times until the others saw it down, the second one
+    the times until they saw it up again.
+    """
     paused = bench.daemons[-1]
     stopped_at = time.time()
     paused.send(signal.SIGSTOP)
     await asyncio.sleep(3 * TIMES.silence)
     down = await bench.read_events('peer-down', stopped_at)
-    woken_at = time.time()
+    resumed_at = time.time()
     paused.send(signal.SIGCONT)
     await asyncio.sleep(2 * TIMES.silence)
-    up = await bench.read_events('peer-up', woken_at)
+    up = await bench.read_events('peer-up', resumed_at)
     return (
         _read_times(down, paused.name, stopped_at),
-        _read_times(up, paused.name, woken_at),
+        _read_times(up, paused.name, resumed_at),
     )
 
 
@@ -216,8 +234,12 @@
     ]
 
 
-async def measure_heal(bench: Bench) -> tuple[float, float]:
-    """Takes the table away; returns reads a second before and at the heal."""
+async def measure_recovery(bench: Bench) -> tuple[float, float]:
+    """Makes the table unavailable for a while.
+
+    Returns:
+      Rows read per second before the outage, and the maximum after it.
+    """
 
     async def count(seconds: float) -> float:
         before = (await bench.read_table())['reads']
@@ -225,17 +247,21 @@
         return float((await bench.read_table())['reads'] - before) / seconds
 
     steady = await count(OUTAGE_SECONDS)
-    await bench.set_fault(down=True)
+    await bench.set_faults(down=True)
     await asyncio.sleep(OUTAGE_SECONDS)
-    await bench.set_fault(down=False)
-    heal = max([await count(0.5) for _ in range(6)])
-    return steady, heal
+    await bench.set_faults(down=False)
+    recovery = max([await count(0.5) for _ in range(6)])
+    return steady, recovery
 
 
 def add_delays(
     report: Report, name: str, delays: HdrHistogram
 ) -> tuple[float, float]:
-    """Adds the percentiles of delays and their share of the bound."""
+    """Adds the percentiles of delays, and the ratio of p99 to the bound.
+
+    Returns:
+      The median and the 99th percentile in milliseconds.
+    """
     p50, p99 = (delays.get_value_at_percentile(p) for p in (50, 99))
     report.add(f'{name}/p50', p50, 'ms')
     report.add(f'{name}/p99', p99, 'ms')
@@ -247,35 +273,35 @@
 
 
 async def measure_deployment(report: Report, count: int, quick: bool) -> None:
-    """Measures a deployment of a number of daemons."""
+    """Measures a deployment with a number of daemons."""
     async with open_bench(count) as bench:
         steady = await measure_steady(bench, 10.0 if quick else 45.0)
         add_delays(report, f'{count} daemons/steady', steady)
         add_delays(report, f'{count} daemons/burst', await measure_burst(bench))
         down, up = await measure_detection(bench)
         for name, times in (('down', down), ('up again', up)):
-            where = f'{count} daemons/paused daemon seen {name}'
-            report.add(f'{where}/median', statistics.median(times), 's')
-            report.add(f'{where}/max', max(times), 's')
+            prefix = f'{count} daemons/paused daemon seen {name}'
+            report.add(f'{prefix}/median', statistics.median(times), 's')
+            report.add(f'{prefix}/max', max(times), 's')
         report.add(
             f'{count} daemons/others that saw it down',
             len(down) / (count - 1),
             'ratio',
             least=1.0,
         )
-        usual, heal = await measure_heal(bench)
+        usual, recovery = await measure_recovery(bench)
         report.add(f'{count} daemons/table reads/steady', usual, 'rows/s')
-        report.add(f'{count} daemons/table reads/heal', heal, 'rows/s')
+        report.add(f'{count} daemons/table reads/heal', recovery, 'rows/s')
         report.add(
             f'{count} daemons/table reads/heal to steady',
-            heal / usual,
+            recovery / usual,
             'ratio',
             most=6.0,
         )
 
 
 async def measure_idle(report: Report, count: int, seconds: float) -> None:
-    """Measures what heartbeats add to an idle daemon's processor time."""
+    """Measures the CPU usage of idle daemons with and without heartbeats."""
     quiet = attrs.evolve(TIMES, heartbeat=20.0, silence=50.0)
     cores = {}
     for name, times in (('with', TIMES), ('without', quiet)):
@@ -291,7 +317,7 @@
 
 
 async def measure_heartbeats(report: Report, quick: bool) -> None:
-    """Measures the heartbeats of meshes, up to the users' full size."""
+    """Measures the cost of heartbeats in meshes, up to the full size."""
     streamed, unary = await measure_transport(200 if quick else 2000)
     report.add('heartbeat/message and answer/stream', 1000 * streamed, 'ms CPU')
     report.add('heartbeat/message and answer/unary', 1000 * unary, 'ms CPU')
@@ -309,8 +335,10 @@
         report.add(f'{name}/messages sent', cost.messages, 'a second')
         report.add(f'{name}/processor', cores, '% of a core')
         report.add(f'{name}/sent', cost.sent_bytes / 1000, 'KB/s')
-        report.add(f'{name}/busiest, both ways', cost.most_bytes / 1000, 'KB/s')
-        report.add(f'{name}/up', cost.up, 'daemons', least=zones * per_zone)
+        report.add(f'{name}/busiest, both ways', cost.max_bytes / 1000, 'KB/s')
+        report.add(
+            f'{name}/up', cost.min_active, 'daemons', least=zones * per_zone
+        )
     sparse, full = costs[42, False], costs[42, True]
     report.add(
         'mesh of 42/bytes to a full mesh',
@@ -321,7 +349,7 @@
 
 
 def measure(quick: bool) -> Report:
-    """Measures propagation, detection, healing, and heartbeats."""
+    """Measures propagation, detection, recovery and heartbeats."""
     report = Report('propagation')
     report.notes.append(
         f'{CHANGES_PER_DAY} changes a day, compressed {COMPRESSION:g} times; '
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
-"""Time from a loss to resumed work, and rows of the table per task's life.
+"""Measures recovery times after losses, and table rows per task.
 
-The losses are of real processes: a daemon is killed, workers are cut off.
-The rows are counted in one process on virtual time, at the rate of starts
-that the letter asks for, all of it on one slice.
+The losses hit real processes: a daemon is killed and workers are disconnected.
+The rows are counted in one process in virtual time, at the required rate of
+starts, with all tasks on one slice.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from stand_ins.virtual_time import run_virtual
 
 STARTS_PER_SECOND = 37.0
-LIFE_SECONDS = 20.0
+JOB_SECONDS = 20.0
 JOBS = 4
 WAIT_SECONDS = 60.0
 TIMES = TimeSettings(
@@ -41,8 +41,8 @@
 
 
 @attrs.frozen
-class Rows:
-    """What the table did while tasks were started at a rate."""
+class TableRates:
+    """Rates of table rows and calls, and of task starts, per second."""
 
     writes: float
     reads: float
@@ -50,8 +50,8 @@
     starts: float
 
 
-async def count_rows(clock: ManualClock, seconds: float) -> Rows:
-    """Counts rows and calls a second, at the rate of starts."""
+async def count_rows(clock: ManualClock, seconds: float) -> TableRates:
+    """Measures rows and calls per second at `STARTS_PER_SECOND`."""
     options = CellOptions(
         workers=60,
         daemons=1,
@@ -64,14 +64,14 @@
         await asyncio.sleep(5.0)
         table = cell.table
         before = (table.writes, table.reads, sum(table.calls.values()))
-        began = clock.now
+        started_at = clock.now
         for number in range(int(STARTS_PER_SECOND * seconds)):
-            due = began + number / STARTS_PER_SECOND
+            due = started_at + number / STARTS_PER_SECOND
             await asyncio.sleep(max(0.0, due - clock.now))
-            await cell.submit(f'job-{number}', LIFE_SECONDS)
+            await cell.submit(f'job-{number}', JOB_SECONDS)
         await cell.finish()
         assert cell.find_violations() == []
-        return Rows(
+        return TableRates(
             (table.writes - before[0]) / seconds,
             (table.reads - before[1]) / seconds,
             (sum(table.calls.values()) - before[2]) / seconds,
@@ -79,8 +79,8 @@
         )
 
 
-class Losses:
-    """A deployment in which things are lost.
+class LossScenarios:
+    """Causes losses in a deployment and measures the recovery.
 
     Args:
       deployment: Its processes.
@@ -90,18 +90,22 @@
         self._deployment = deployment
 
     async def call(
-        self, base: str, method: str, path: str, value: Any = None
+        self, address: str, method: str, path: str, value: Any = None
     ) -> Any:
-        """Calls a process and reads its JSON."""
-        caller = HttpClient(f'http://{base}', 10.0)
+        """Calls a process and returns its JSON response.
+
+        Raises:
+          RuntimeError: The process returned an error.
+        """
+        client = HttpClient(f'http://{address}', 10.0)
         body = None if value is None else json.dumps(value).encode()
         try:
-            answer = await caller.call(method, path, body, AUTHORIZATION)
+            response = await client.call(method, path, body, AUTHORIZATION)
         finally:
-            caller.close()
-        if answer.status >= 400:
-            raise RuntimeError(f'{method} {path}: {answer.body.decode()}')
-        return json.loads(answer.body)
+            client.close()
+        if response.status >= 400:
+            raise RuntimeError(f'{method} {path}: {response.body.decode()}')
+        return json.loads(response.body)
 
     @property
     def _operators(self) -> str:
@@ -110,7 +114,7 @@
         return str(up[-1].addresses['operators'])
 
     async def submit(self, prefix: str, seconds: float) -> list[str]:
-        """Submits jobs and waits until all run."""
+        """Submits jobs, waits until all run and returns their names."""
         names = [f'{prefix}-{number}' for number in range(JOBS)]
         for name in names:
             job = {
@@ -126,25 +130,32 @@
         return names
 
     async def wait_for(self, names: list[str], attempt: int) -> float:
-        """Waits until jobs run in an attempt; returns the time it took."""
-        began = time.monotonic()
-        while time.monotonic() - began < WAIT_SECONDS:
-            if all([await self._has_begun(n, attempt) for n in names]):
-                return time.monotonic() - began
+        """Waits until jobs run in at least the given attempt.
+
+        Returns:
+          The time that it took, in seconds.
+
+        Raises:
+          RuntimeError: They did not within `WAIT_SECONDS`.
+        """
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < WAIT_SECONDS:
+            if all([await self._has_started(n, attempt) for n in names]):
+                return time.monotonic() - started_at
             await asyncio.sleep(0.05)
-        raise RuntimeError(f'{names} did not begin attempt {attempt}')
+        raise RuntimeError(f'{names} did not start attempt {attempt} in time')
 
-    async def _has_begun(self, name: str, attempt: int) -> bool:
+    async def _has_started(self, name: str, attempt: int) -> bool:
         path = f'/v1/jobs/load/{name}'
         try:
             job = (await self.call(self._operators, 'GET', path))['status']
         except RuntimeError:
-            # A daemon that has just started may not be ready.
+            # A daemon that has just started may not be ready yet.
             return False
         return bool(job['phase'] == 'running' and job['attempt'] >= attempt)
 
     async def find_workers(self, names: list[str]) -> set[str]:
-        """Returns the addresses of the workers that jobs run on."""
+        """Returns the addresses of the workers on which jobs run."""
         addresses = self._deployment.platform.addresses['workers']
         found = set()
         for name in names:
@@ -153,65 +164,65 @@
             found.add(str(addresses[job['status']['worker']]))
         return found
 
-    async def kill_owner(self) -> None:
-        """Kills the daemon that holds the slice."""
+    async def kill_owner_daemon(self) -> None:
+        """Kills the daemon that owns the slice."""
         while True:
             for daemon in self._deployment.daemons.values():
                 if daemon.popen.poll() is not None:
                     continue
-                base = daemon.addresses['operators']
-                status = await self.call(base, 'GET', '/v1/status')
+                address = daemon.addresses['operators']
+                status = await self.call(address, 'GET', '/v1/status')
                 if status['slices']:
                     daemon.kill()
                     return
             await asyncio.sleep(0.1)
 
-    async def cut(self, workers: set[str], down: bool) -> None:
-        """Cuts workers off, or connects them again."""
+    async def set_disconnected(self, workers: set[str], down: bool) -> None:
+        """Disconnects workers, or connects them again."""
         for address in workers:
             await self.call(address, 'POST', '/_faults', {'down': down})
 
 
 async def measure_losses(deployment: Deployment, report: Report) -> None:
-    """Kills a daemon, then cuts workers off, then both at once."""
-    losses = Losses(deployment)
+    """Measures the loss of workers, of the owner daemon, and of both."""
+    scenarios = LossScenarios(deployment)
     team = {'kind': 'Team', 'metadata': {'name': 'load'}, 'spec': {}}
-    await losses.call(losses._operators, 'POST', '/v1/teams', team)
-    names = await losses.submit('worker', 120.0)
-    workers = await losses.find_workers(names)
-    await losses.cut(workers, True)
+    await scenarios.call(scenarios._operators, 'POST', '/v1/teams', team)
+    names = await scenarios.submit('worker', 120.0)
+    workers = await scenarios.find_workers(names)
+    await scenarios.set_disconnected(workers, True)
     report.add(
         'loss/workers/resumed',
-        await losses.wait_for(names, 2) / TIMES.task_lease,
+        await scenarios.wait_for(names, 2) / TIMES.task_lease,
         'task leases',
         most=3.0,
     )
-    await losses.cut(workers, False)
-    await losses.kill_owner()
-    began = time.monotonic()
-    await losses.submit('daemon', 120.0)
+    await scenarios.set_disconnected(workers, False)
+    await scenarios.kill_owner_daemon()
+    started_at = time.monotonic()
+    await scenarios.submit('daemon', 120.0)
     report.add(
         'loss/daemon/new-work-runs',
-        (time.monotonic() - began) / TIMES.slice_lease,
+        (time.monotonic() - started_at) / TIMES.slice_lease,
         'slice leases',
         most=5.0,
     )
-    names = await losses.submit('both', 120.0)
-    workers = await losses.find_workers(names)
-    await losses.cut(workers, True)
+    names = await scenarios.submit('both', 120.0)
+    workers = await scenarios.find_workers(names)
+    await scenarios.set_disconnected(workers, True)
     deployment.start_daemon('entry-2', 'zone-0')
-    await losses.kill_owner()
-    whole = TIMES.slice_lease + TIMES.task_lease + TIMES.task_promise
+    await scenarios.kill_owner_daemon()
+    total_seconds = TIMES.slice_lease + TIMES.task_lease + TIMES.task_promise
     report.add(
         'loss/daemon-and-workers/resumed',
-        await losses.wait_for(names, 2) / whole,
+        await scenarios.wait_for(names, 2) / total_seconds,
         'slice lease, task lease and promise',
         most=2.0,
     )
 
 
 def measure(quick: bool) -> Report:
-    """Measures rows, then losses."""
+    """Measures table rows, then recovery times."""
     report = Report('recovery')
     clock = ManualClock()
     rows = run_virtual(count_rows(clock, 20.0 if quick else 60.0), clock)
@@ -234,6 +245,6 @@
         f'Task lease {TIMES.task_lease:g} s, slice lease '
         f'{TIMES.slice_lease:g} s, promise {TIMES.task_promise:g} s, '
         f'{JOBS} jobs for each loss. Rows: 60 workers, one slice, virtual '
-        f'time, a task runs {LIFE_SECONDS:g} s.'
+        f'time, a task runs {JOB_SECONDS:g} s.'
     )
     return report
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,7 +1,7 @@
-"""Daemons that route in another way, to compare with: never shipped.
+"""Routing variants for comparison with the shipped router; never shipped.
 
 `python -m benchmarks.variants NAME --settings FILE` runs `lentilmountd` with
-the router or balancer of that name.
+the named router or balancer.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from lentilmount.settings import Settings
 
 NAIVE_CONNECTIONS = 64
-NAIVE_TRIES = 3
+NAIVE_ATTEMPTS = 3
 
 
 class NaiveRouter(Router):
-    """Round robin, no limits, blind retry."""
+    """Routes round robin, without limits and with unconditional retries."""
 
     def __init__(self, daemon: Daemon):
         super().__init__(
@@ -37,30 +37,35 @@
             daemon.router._monotonic,
         )
         self._directory = daemon.directory
-        self._turn = itertools.count()
+        self._counter = itertools.count()
 
     async def route(self, call: Call, timeout: float | None) -> Reply:
-        """Sends to the next upstream, and the next, until one answers."""
+        """Tries upstreams in turn until one answers.
+
+        Raises:
+          NotFoundError: The service or its upstreams do not exist.
+          UpstreamError: No attempt was answered.
+        """
         team, _, name = call.service.partition('/')
         spec = self._configuration.get_service(team, name)
         upstreams = self._directory.list_service(call.service)
         if spec is None or not upstreams:
             raise NotFoundError(f'there is no service {call.service}')
-        longest = spec.deadline_ms / 1000
-        deadline = self._monotonic() + min(timeout or longest, longest)
-        for _ in range(NAIVE_TRIES):
-            upstream = upstreams[next(self._turn) % len(upstreams)]
-            left = max(0.001, deadline - self._monotonic())
+        max_seconds = spec.deadline_ms / 1000
+        deadline = self._monotonic() + min(timeout or max_seconds, max_seconds)
+        for _ in range(NAIVE_ATTEMPTS):
+            upstream = upstreams[next(self._counter) % len(upstreams)]
+            remaining = max(0.001, deadline - self._monotonic())
             reply = await self._forwarder.send(
-                upstream.address, call, left, NAIVE_CONNECTIONS
+                upstream.address, call, remaining, NAIVE_CONNECTIONS
             )
             if reply.result is Result.ANSWERED:
                 return reply
         raise UpstreamError(reply.error, ran=Ran.UNKNOWN)
 
 
-class LeastLoaded:
-    """The open upstream with the least known load."""
+class LeastLoadBalancer:
+    """Chooses the open upstream with the least known load."""
 
     def choose(
         self,
@@ -76,8 +81,11 @@
         return min(usable, key=Target.get_load, default=None)
 
 
-class StaticShare:
-    """The upstream with the least own load, within a fixed part of slots."""
+class StaticShareBalancer:
+    """Chooses the upstream with the fewest own requests in flight.
+
+    Each daemon uses only a fixed share of the slots of an upstream.
+    """
 
     def choose(
         self,
@@ -98,13 +106,13 @@
 
 
 BALANCERS: dict[str, Callable[[], Balancer]] = {
-    'least': LeastLoaded,
-    'static': StaticShare,
+    'least': LeastLoadBalancer,
+    'static': StaticShareBalancer,
 }
 
 
 class VariantDaemon(Daemon):
-    """A daemon with another router or balancer."""
+    """A daemon with the router or balancer of a variant."""
 
     variant = ''
 
@@ -113,17 +121,17 @@
         if self.variant == 'naive':
             self.router = NaiveRouter(self)
         elif self.variant == 'alone':
-            self.router.pools.update_peer_loads = self._ignore  # type: ignore[method-assign]
+            self.router.pools.update_peer_loads = self._ignore_peer_loads  # type: ignore[method-assign]
         else:
             balancer = BALANCERS[self.variant]()
             self.router.pools._balancer = balancer
 
-    def _ignore(self, reports: Iterable[LoadReport]) -> None:
-        """Takes in nothing of what peers tell of their load."""
+    def _ignore_peer_loads(self, reports: Iterable[LoadReport]) -> None:
+        """Ignores the loads that peers report."""
 
 
 def main() -> int:
-    """Runs a daemon of the variant that is named first."""
+    """Runs a daemon of the variant given as the first argument."""
     VariantDaemon.variant = sys.argv.pop(1)
     program.Daemon = VariantDaemon  # type: ignore[attr-defined]
     return program.main()
