--- a/lentilmount/cli/client.py
+++ b/lentilmount/cli/client.py
@@ -70,12 +70,12 @@
         body = None if value is None else json.dumps(value).encode()
         if method == 'POST' and body is None:
             body = b''
-        answer = await self._http_client.call(method, path, body, headers)
-        if answer.status == CURL_ERROR:
+        response = await self._http_client.call(method, path, body, headers)
+        if response.status == CURL_ERROR:
             raise self._make_unreachable_error()
-        if answer.status >= 400:
-            raise _parse_error(answer.status, answer.body)
-        return json.loads(answer.body)
+        if response.status >= 400:
+            raise _parse_error(response.status, response.body)
+        return json.loads(response.body)
 
     async def read(self, path: str, **query: Any) -> Any:
         """Sends a GET request, without empty query parameters; see `call`."""
@@ -129,13 +129,13 @@
             for line in lines:
                 yield _parse_stream_line(line)
         try:
-            answer = await fetch
+            response = await fetch
         except CurlError as error:
             raise self._make_unreachable_error() from error
-        if answer.code == CURL_ERROR:
+        if response.code == CURL_ERROR:
             raise self._make_unreachable_error()
-        if answer.code >= 400:
-            raise _parse_error(answer.code, remainder)
+        if response.code >= 400:
+            raise _parse_error(response.code, remainder)
 
     def _make_unreachable_error(self) -> LentilmountError:
         return LentilmountError(
