--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -60,11 +60,7 @@
         most: float | None = None,
         least: float | None = None,
     ) -> None:
-        """Adds a figure.
-
-        Bounds are meant for ratios within one run, which do not depend on the
-        speed of the machine.
-        """
+        """Adds a figure; set bounds only on ratios within one run."""
         self.figures.append(Figure(name, value, unit, most, least))
 
     def list_violations(self) -> list[Figure]:
