--- a/lentilmount/control/frontend.py
+++ b/lentilmount/control/frontend.py
@@ -106,27 +106,25 @@
     def _find_route(self) -> tuple[Route, str]:
         if self._routes.current is None:
             raise LentilmountError(
-                'this daemon has not received a configuration yet; retry later',
+                'no configuration is in force yet',
                 kind=ErrorKind.NOT_READY,
                 retry_after=NO_CONFIGURATION_RETRY_SECONDS,
             )
         if self._routes.is_outdated:
             raise LentilmountError(
-                'the configuration of this daemon may be outdated; retry later',
+                'the configuration may be older than what is in force',
                 kind=ErrorKind.NOT_READY,
                 retry_after=NO_CONFIGURATION_RETRY_SECONDS,
             )
         host = self.request.host.partition(':')[0]
         found = self._routes.find(host, self.request.path)
         if found is None:
-            raise NotFoundError('no queue is configured for this host and path')
+            raise NotFoundError('no queue has this host and path')
         return found
 
     def _check_id(self, rest: str) -> str:
         if not JOB_ID.fullmatch(rest):
-            raise NotFoundError(
-                'the job id must be 16 lowercase hexadecimal digits'
-            )
+            raise NotFoundError('a job id is 16 hexadecimal digits')
         return rest
 
     async def _read(self, route: Route, rest: str) -> dict[str, Any]:
--- a/lentilmount/daemon/bodies.py
+++ b/lentilmount/daemon/bodies.py
@@ -39,12 +39,12 @@
         if size > self.max_body_bytes:
             raise LentilmountError(
                 f'the body has {size} bytes; '
-                f'the limit is {self.max_body_bytes} bytes',
+                f'at most {self.max_body_bytes} are taken',
                 kind=ErrorKind.TOO_LARGE,
             )
         if self.reserved_bytes + size > self.max_total_bytes:
             raise LentilmountError(
-                'too many large request bodies are being received; retry later',
+                'too many large bodies are on their way',
                 kind=ErrorKind.OVERLOADED,
                 retry_after=RETRY_AFTER_SECONDS,
             )
--- a/lentilmount/daemon/streams.py
+++ b/lentilmount/daemon/streams.py
@@ -54,8 +54,7 @@
         """
         if self.open_count >= self.limit:
             raise LentilmountError(
-                f'the limit of {self.limit} open watches is reached; '
-                'close one or retry later',
+                f'{self.limit} watches are open, and no more are served here',
                 kind=ErrorKind.LIMITED,
                 retry_after=RETRY_SECONDS,
             )
--- a/lentilmount/platform/documents.py
+++ b/lentilmount/platform/documents.py
@@ -127,9 +127,9 @@
     payload = document.get('spec') or ''
     steps = document.get('steps')
     if not isinstance(payload, str):
-        raise _make_error('spec', 'must be a string')
+        raise _make_error('spec', 'must be a text')
     if not isinstance(steps, list) or not steps:
-        raise _make_error('steps', 'must be a non-empty list')
+        raise _make_error('steps', 'must be a list that is not empty')
     decoded = tuple(_decode_step(n, step) for n, step in enumerate(steps))
     if sum(step.count for step in decoded) > MAX_TASKS:
         raise _make_error('steps', f'has more than {MAX_TASKS} tasks')
@@ -185,9 +185,7 @@
     if count < 1:
         raise _make_error(f'{name}.count', 'must be 1 or more')
     if any(not 0 <= before < number for before in after):
-        raise _make_error(
-            f'{name}.after', 'must list numbers of earlier steps only'
-        )
+        raise _make_error(f'{name}.after', 'must list earlier steps')
     return spec
 
 
--- a/lentilmount/routing/teams.py
+++ b/lentilmount/routing/teams.py
@@ -71,7 +71,7 @@
         wait = bucket.take(share, now)
         if wait:
             raise UpstreamError(
-                f'team {team} exceeds {rate:g} requests per second',
+                f'team {team} is over its {rate:g} requests a second',
                 kind=ErrorKind.LIMITED,
                 retry_after=wait,
             )
