--- a/benchmarks/emulated.py
+++ b/benchmarks/emulated.py
@@ -26,8 +26,8 @@
     Attributes:
       workers: Number of workers.
       serving_jobs: Number of serving jobs, of six tasks each, from the start.
-      filling_per_second: Arrival rate of best-effort jobs.
-      plain_per_second: Arrival rate of other jobs.
+      best_effort_per_second: Arrival rate of best-effort jobs.
+      other_per_second: Arrival rate of other jobs.
       seconds: Time during which jobs arrive and serving tasks are measured.
       swing_seconds: Period of the load of the serving tasks.
       heavy: Share of the best-effort images that can put high pressure on
@@ -37,8 +37,8 @@
 
     workers: int = 34
     serving_jobs: int = 25
-    filling_per_second: float = 4.4
-    plain_per_second: float = 3.2
+    best_effort_per_second: float = 4.4
+    other_per_second: float = 3.2
     seconds: float = 34.0
     swing_seconds: float = 14.0
     heavy: float = 0.6
@@ -54,8 +54,8 @@
         completion in time.
       serving: Time of serving tasks within the target, less three times the
         time over it because of interference, as a share of the whole time.
-      harms: Number of periods of more than 4 s over the target because of
-        interference.
+      harm_periods: Number of periods of more than 4 s over the target because
+        of interference.
       moves: Number of best-effort tasks that were moved.
       known_after: Seconds until the model has learned that nine of ten
         harmless pairs are harmless; infinity if it has not.
@@ -63,7 +63,7 @@
 
     filling: float = 0.0
     serving: float = 0.0
-    harms: int = 0
+    harm_periods: int = 0
     moves: int = 0
     known_after: float = math.inf
 
--- a/benchmarks/emulation.py
+++ b/benchmarks/emulation.py
@@ -195,8 +195,8 @@
 
     def _draw_arrivals(self) -> None:
         for fills, rate in (
-            (True, self.load.filling_per_second),
-            (False, self.load.plain_per_second),
+            (True, self.load.best_effort_per_second),
+            (False, self.load.other_per_second),
         ):
             if self.random.random() < rate * STEP_SECONDS:
                 self._admit_steps(fills)
@@ -298,7 +298,7 @@
         self._counted_seconds -= 3 * STEP_SECONDS
         over = self.now - running.over_target_since
         if HARM_SECONDS <= over < HARM_SECONDS + STEP_SECONDS:
-            self.outcome.harms += 1
+            self.outcome.harm_periods += 1
 
     def _end_run(
         self, worker: Worker, running: Running, kind: EndKind, done: str
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -15,15 +15,15 @@
         workers=24,
         serving_jobs=18,
         cores=16.0,
-        filling_per_second=3.1,
+        best_effort_per_second=3.1,
         swing_seconds=20.0,
     ),
     'full': Load(
         workers=24,
         serving_jobs=23,
         cores=16.0,
-        filling_per_second=3.7,
-        plain_per_second=1.0,
+        best_effort_per_second=3.7,
+        other_per_second=1.0,
         swing_seconds=20.0,
     ),
 }
@@ -42,11 +42,11 @@
         filling = statistics.mean(o.filling for o in outcomes)
         serving = statistics.mean(o.serving for o in outcomes)
         known = statistics.median(o.known_after for o in outcomes)
-        harms = sum(o.harms for o in outcomes)
+        harm_periods = sum(o.harm_periods for o in outcomes)
         moves = sum(o.moves for o in outcomes)
         print(
             f'{name}: filling {filling:.3f}, serving {serving:.3f}, '
-            f'harms {harms}, moves {moves}, known after {known:.1f} s'
+            f'harms {harm_periods}, moves {moves}, known after {known:.1f} s'
         )
 
 
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -19,7 +19,11 @@
 from lentilmount.clock import HybridClock, SystemClock
 from lentilmount.coordination.membership import Member, Membership
 from lentilmount.coordination.mesh import choose_peers
-from lentilmount.daemon.heartbeats import Courier, News, converse
+from lentilmount.daemon.heartbeats import (
+    HeartbeatCodec,
+    VersionReport,
+    exchange_heartbeats,
+)
 from lentilmount.wire import peer_grpc, peer_pb2
 
 HEARTBEAT_SECONDS = 0.5
@@ -66,16 +70,21 @@
     def __init__(self, me: Member, clock: SystemClock, slices: Sequence[str]):
         self.membership = Membership(me, SILENCE_SECONDS, clock.monotonic)
         self.counts = Counts()
-        self.news = News(1, dict.fromkeys(slices, 0), dict.fromkeys(slices, 0))
-        self.courier = Courier(
-            self.membership, HybridClock(clock), lambda: self.news, self._apply
+        self.report = VersionReport(
+            1, dict.fromkeys(slices, 0), dict.fromkeys(slices, 0)
+        )
+        self.codec = HeartbeatCodec(
+            self.membership,
+            HybridClock(clock),
+            lambda: self.report,
+            self._apply,
         )
 
-    def _apply(self, news: News) -> None:
-        for name, sequence in news.sequences.items():
-            if sequence > self.news.sequences.get(name, -1):
-                self.news.sequences[name] = sequence
-                self.news.origins[name] = news.zone
+    def _apply(self, report: VersionReport) -> None:
+        for name, sequence in report.sequences.items():
+            if sequence > self.report.sequences.get(name, -1):
+                self.report.sequences[name] = sequence
+                self.report.origins[name] = report.zone
 
     async def send_heartbeats(self) -> None:
         while True:
@@ -85,8 +94,8 @@
     async def append_changes(self, slice_name: str, per_second: float) -> None:
         while True:
             await asyncio.sleep(1.0 / per_second)
-            self.news.sequences[slice_name] += 1
-            self.news.origins.pop(slice_name, None)
+            self.report.sequences[slice_name] += 1
+            self.report.origins.pop(slice_name, None)
 
 
 @attrs.frozen
@@ -178,9 +187,9 @@
 
 
 async def _converse(node: _Daemon, end: _StreamEnd) -> None:
-    await converse(
+    await exchange_heartbeats(
         end,
-        node.courier,
+        node.codec,
         asyncio.Event,
         HEARTBEAT_SECONDS,
         SILENCE_SECONDS,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -42,7 +42,7 @@
       seconds: Length of the replay.
       urgent_per_second: Arrival rate of urgent jobs.
       best_effort_per_second: Arrival rate of best-effort jobs.
-      lasting_jobs: Number of long-running jobs, submitted at the start.
+      long_running_jobs: Number of long-running jobs, submitted at the start.
     """
 
     workers: int = 33
@@ -51,7 +51,7 @@
     seconds: float = 40.0
     urgent_per_second: float = 2.0
     best_effort_per_second: float = 2.0
-    lasting_jobs: int = 22
+    long_running_jobs: int = 22
 
     def count_leaving(self) -> int:
         """Returns the number of workers that leave."""
@@ -59,7 +59,7 @@
 
 
 LOADS = {
-    'short of lasting': Load(lasting_jobs=12, leaving=0.0),
+    'short of lasting': Load(long_running_jobs=12, leaving=0.0),
     'full': Load(leaving=0.0),
     'workers go': Load(),
 }
@@ -112,7 +112,7 @@
         self._now = 0.0
         for number in range(load.workers):
             add_worker(self._cluster, f'w-{number}', Room(load.cores, 64_000))
-        for _ in range(load.lasting_jobs):
+        for _ in range(load.long_running_jobs):
             self._admit(LONG_RUNNING, self._draw_long_running())
 
     def run(self) -> None:
@@ -135,13 +135,13 @@
         """Returns all jobs with their arrival times."""
         return [(job.accepted_at, job.spec) for job in self._jobs]
 
-    def measure_worth(self) -> float:
+    def measure_credit_share(self) -> float:
         """Returns the mean share of credit over all queues."""
         shares = [earned.share for earned in self.earned.values()]
         return sum(shares) / len(shares)
 
     def measure_bound(self) -> float:
-        """Returns an upper bound of `measure_worth` for any schedule."""
+        """Returns an upper bound of `measure_credit_share` for any schedule."""
         possible = {
             name: e.possible for name, e in self.earned.items() if e.possible
         }
@@ -317,10 +317,15 @@
     for policy in POLICIES:
         share = sum(r.earned[policy.name].share for r in replays) / count
         report.add(f'overload/{name}/{policy.name}', share, '')
-    worth = sum(replay.measure_worth() for replay in replays) / count
+    credit_share = (
+        sum(replay.measure_credit_share() for replay in replays) / count
+    )
     bound = sum(replay.measure_bound() for replay in replays) / count
-    report.add(f'overload/{name}/worth', worth, '')
+    report.add(f'overload/{name}/worth', credit_share, '')
     report.add(f'overload/{name}/bound', bound, '')
     report.add(
-        f'overload/{name}/of the bound', worth / bound, '', most=MAX_OF_BOUND
+        f'overload/{name}/of the bound',
+        credit_share / bound,
+        '',
+        most=MAX_OF_BOUND,
     )
--- a/lentilmount/access.py
+++ b/lentilmount/access.py
@@ -37,12 +37,12 @@
     team: str
     verbs: frozenset[Verb]
 
-    def sees(self, team: str) -> bool:
+    def can_see(self, team: str) -> bool:
         """Returns whether a team's resources are visible."""
         return self.team in (EVERY_TEAM, team)
 
     @property
-    def sees_platform(self) -> bool:
+    def can_see_platform(self) -> bool:
         """Whether resources that belong to no team are visible."""
         return self.team == EVERY_TEAM
 
@@ -61,14 +61,14 @@
                 f'the token of {self.name} does not allow {verb.value}; '
                 f'use one that does'
             )
-        if not self.sees(team):
+        if not self.can_see(team):
             raise AccessError(
                 f'the token of {self.name} is for team {self.team}, '
                 f'not for {team or "the platform"}'
             )
 
 
-class Gate:
+class Authenticator:
     """Authenticates requests: maps bearer tokens to their grants."""
 
     def __init__(self, access: Iterable[AccessSettings]):
@@ -86,7 +86,7 @@
             for entry in access
         }
 
-    def admit(self, header: str) -> Grant:
+    def authenticate(self, header: str) -> Grant:
         """Returns the grant of an Authorization header.
 
         The lookup is by the token's hash, so its duration can disclose only
--- a/lentilmount/batch/interference_control.py
+++ b/lentilmount/batch/interference_control.py
@@ -63,7 +63,7 @@
 """Weight of one measurement in the moving average of the lag."""
 
 
-class WorkerLink(Protocol):
+class PolicySession(Protocol):
     """The part of a worker's session that the policy uses."""
 
     @property
@@ -160,7 +160,7 @@
         self._headroom.forget(task)
 
     def process_usage(
-        self, session: WorkerLink, now: float
+        self, session: PolicySession, now: float
     ) -> list[EvictAction]:
         """Processes a worker's new measurements and sends throttles.
 
@@ -188,7 +188,7 @@
         return evictions
 
     def _list_new_measurements(
-        self, session: WorkerLink, now: float
+        self, session: PolicySession, now: float
     ) -> Iterator[tuple[Task, Usage]]:
         for usage in session.usage:
             task = self._occupancy.get(usage.task)
@@ -204,7 +204,7 @@
                 yield task, usage
 
     def _check_overrun(
-        self, session: WorkerLink, job: Task, usage: Usage, now: float
+        self, session: PolicySession, job: Task, usage: Usage, now: float
     ) -> list[EvictAction]:
         # A measurement window that overlaps the last throttle change would
         # give a wrong size for the current share.
@@ -226,7 +226,7 @@
         return []
 
     def _limit_interference(
-        self, session: WorkerLink, worst: _Reading, now: float
+        self, session: PolicySession, worst: _Reading, now: float
     ) -> list[EvictAction]:
         actions = self._isolator.decide(
             session.name,
@@ -282,7 +282,7 @@
         ]
 
     def throttle(
-        self, session: WorkerLink, action: ThrottleAction, now: float
+        self, session: PolicySession, action: ThrottleAction, now: float
     ) -> None:
         """Changes the share of its cores that a job may use."""
         job = self._occupancy.get(action.task)
@@ -293,7 +293,7 @@
         self._headroom.invalidate(job.worker)
         self._send(session, job, share, now)
 
-    def resend(self, sessions: Mapping[str, WorkerLink], now: float) -> None:
+    def resend(self, sessions: Mapping[str, PolicySession], now: float) -> None:
         """Resends throttles periodically, since a command may be lost."""
         throttled = self._occupancy.list_throttled()
         for job, share in throttled:
@@ -306,7 +306,7 @@
             del self._sent_at[key]
 
     def _send(
-        self, session: WorkerLink, job: Task, share: float, now: float
+        self, session: PolicySession, job: Task, share: float, now: float
     ) -> None:
         session.send(Command(Action.THROTTLE, job.id, job.attempt, share=share))
         session.wake()
--- a/lentilmount/batch/manager.py
+++ b/lentilmount/batch/manager.py
@@ -57,7 +57,7 @@
       monotonic: Clock for durations.
       announce_release: Called with the name of a released slice, to notify
         the next owner without waiting for its poll.
-      preference: Decides which daemon should own a slice; created if None.
+      ownership: Decides which daemon should own a slice; created if None.
 
     Attributes:
       owners: The owners of the slices that this daemon holds, by slice.
@@ -75,7 +75,7 @@
         slices_per_zone: int,
         monotonic: Callable[[], float],
         announce_release: Callable[[str], None] = lambda _: None,
-        preference: OwnershipPolicy | None = None,
+        ownership: OwnershipPolicy | None = None,
     ):
         self.owners: dict[str, Owner] = {}
         self.hosts: list[Host] = []
@@ -84,7 +84,7 @@
         self._table = table
         self._workers = workers
         self._configuration = configuration
-        self._ownership = preference or OwnershipPolicy(
+        self._ownership = ownership or OwnershipPolicy(
             membership, OwnershipOptions(options.slices), monotonic
         )
         self._announce_release = announce_release
--- a/lentilmount/batch/policy.py
+++ b/lentilmount/batch/policy.py
@@ -18,7 +18,7 @@
 from lentilmount.batch.fairness import FairShare
 from lentilmount.batch.interference_control import (
     InterferenceController,
-    WorkerLink,
+    PolicySession,
 )
 from lentilmount.batch.isolation import EvictAction
 from lentilmount.batch.learning import SizeLearner
@@ -79,7 +79,7 @@
     def __init__(
         self,
         ledger: ObservedRows,
-        sessions: Mapping[str, WorkerLink],
+        sessions: Mapping[str, PolicySession],
         configuration: Configuration,
         slices: int,
         monotonic: Callable[[], float],
--- a/lentilmount/batch/retention.py
+++ b/lentilmount/batch/retention.py
@@ -19,7 +19,7 @@
     UnavailableError,
 )
 from lentilmount.coordination.transactions import commit
-from lentilmount.rows import is_deleted, make_job_key, make_stone
+from lentilmount.rows import is_deleted, make_job_key, make_tombstone
 
 log = logbook.Logger('retention')
 
@@ -104,6 +104,6 @@
         for key in keys:
             row = jobs.get(key)
             if row is not None and not is_deleted(row):
-                tombstone = make_stone(self._slice_name)
+                tombstone = make_tombstone(self._slice_name)
                 operations.append(Put(key, tombstone, row.version))
         await commit(self._table, operations, operations[-1].key)
--- a/lentilmount/cli/lines.py
+++ b/lentilmount/cli/lines.py
@@ -11,7 +11,7 @@
 _START_KINDS = frozenset({'placed', 'resumed'})
 _END_KINDS = frozenset({'completed', 'failed', 'stopped', 'lost', 'cancelled'})
 
-RUNS = 'attempts'
+ATTEMPTS_PROCESS = 'attempts'
 """Name of the trace process that holds the attempts, a lane per worker."""
 
 
@@ -125,9 +125,9 @@
     start = _get_micros(start_event)
     return {
         'name': f'{start_event["resource"]}#{start_event["attempt"]}',
-        'cat': RUNS,
+        'cat': ATTEMPTS_PROCESS,
         'ph': 'X',
-        **ids.find_ids(RUNS, start_event['worker']),
+        **ids.find_ids(ATTEMPTS_PROCESS, start_event['worker']),
         'ts': start,
         'dur': max(1, _get_micros(end_event) - start),
         'args': {'ended': outcome},
--- a/lentilmount/commands/configure.py
+++ b/lentilmount/commands/configure.py
@@ -44,7 +44,7 @@
 MAX_RETRY_PAUSE_SECONDS = 0.2
 RETRY_AFTER_SECONDS = 2.0
 
-LOG_KEPT = 1000
+MAX_LOG_ENTRIES = 1000
 """Number of change log entries that are kept; readers further behind load a
 snapshot. At 1,900 changes a day this covers half a day."""
 
@@ -64,7 +64,7 @@
     resource: Resource | None
 
 
-class Configurer:
+class ConfigurationCommands:
     """Applies and deletes resources of the configuration."""
 
     def __init__(self, table: Table):
@@ -223,7 +223,9 @@
         return accepted
 
     async def _prune_log(self, newest: int) -> list[Operation]:
-        key = make_change_key(CONFIGURATION_LOG, max(0, newest - LOG_KEPT))
+        key = make_change_key(
+            CONFIGURATION_LOG, max(0, newest - MAX_LOG_ENTRIES)
+        )
         rows = await self._table.read([key])
         return [Delete(row.key, row.version) for row in rows.values()]
 
--- a/lentilmount/commands/jobs.py
+++ b/lentilmount/commands/jobs.py
@@ -32,8 +32,8 @@
     encode_resource,
     is_deleted,
     make_job_key,
-    make_stone,
     make_task_id,
+    make_tombstone,
 )
 from lentilmount.slices import get_zone, rank_by_hash
 
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Submitted:
+class JobResult:
     """The result of a command on a job, with the slice that runs the job."""
 
     slice_name: str
@@ -56,7 +56,7 @@
     changed: bool
 
 
-class JobDesk:
+class JobCommands:
     """Accepts submissions, cancellations and deletions of jobs."""
 
     def __init__(self, table: Table, slices: tuple[str, ...]):
@@ -64,7 +64,7 @@
         self._slices = slices
         self._shapes = WorkerShapes(table, slices, time.monotonic)
 
-    async def submit(self, resource: Resource) -> Submitted:
+    async def submit(self, resource: Resource) -> JobResult:
         """Accepts a job; idempotent if the same job is submitted again.
 
         Raises:
@@ -95,7 +95,7 @@
             return await self._find_existing(resource)
         except UnavailableError as error:
             raise _make_store_error() from error
-        return Submitted(slice_name, resource, True)
+        return JobResult(slice_name, resource, True)
 
     async def preview(self, resource: Resource) -> Resource | None:
         """Checks a job as `submit` does, without writing.
@@ -136,7 +136,7 @@
         suitable = self._shapes.select(spec.demand, slices)
         return rank_by_hash(resource.path, suitable)[0]
 
-    async def _find_existing(self, resource: Resource) -> Submitted:
+    async def _find_existing(self, resource: Resource) -> JobResult:
         metadata = resource.metadata
         row = await self._find(metadata.team, metadata.name)
         if is_deleted(row):
@@ -155,9 +155,9 @@
                     'current_revision': JOB_REVISION,
                 },
             )
-        return Submitted(row.body['slice'], existing, False)
+        return JobResult(row.body['slice'], existing, False)
 
-    async def cancel(self, team: str, name: str) -> Submitted:
+    async def cancel(self, team: str, name: str) -> JobResult:
         """Accepts a cancellation; has no effect on a finished job.
 
         Raises:
@@ -167,7 +167,7 @@
         row = await self._read(team, name)
         resource = structure_resource(row.body['resource'])
         if await self._find_done(row, team, name) is not None:
-            return Submitted(row.body['slice'], resource, False)
+            return JobResult(row.body['slice'], resource, False)
         request = make_request_put(
             row.body['slice'],
             _make_inbox_key(_CANCEL),
@@ -177,9 +177,9 @@
             await commit(self._table, [request], request.key)
         except UnavailableError as error:
             raise _make_store_error() from error
-        return Submitted(row.body['slice'], resource, True)
+        return JobResult(row.body['slice'], resource, True)
 
-    async def delete(self, team: str, name: str) -> Submitted:
+    async def delete(self, team: str, name: str) -> JobResult:
         """Deletes a finished job.
 
         The row stays as a tombstone without the spec, which reserves the name:
@@ -198,7 +198,7 @@
                 f'the job {team}/{name} is not over; cancel it'
             )
         slice_name = row.body['slice']
-        tombstone = make_stone(slice_name)
+        tombstone = make_tombstone(slice_name)
         operations: list[Operation] = [
             Put(row.key, tombstone, row.version),
             Delete(done.key, done.version),
@@ -210,7 +210,7 @@
         except UnavailableError as error:
             raise _make_store_error() from error
         resource = structure_resource(row.body['resource'])
-        return Submitted(slice_name, resource, True)
+        return JobResult(slice_name, resource, True)
 
     async def _find_done(self, row: Row, team: str, name: str) -> Row | None:
         key = make_done_key(row.body['slice'], make_task_id(team, name))
--- a/lentilmount/configuration.py
+++ b/lentilmount/configuration.py
@@ -104,7 +104,7 @@
         self.revision = revision
         self._notify_changed()
 
-    def note(self, revision: int) -> None:
+    def record_known_revision(self, revision: int) -> None:
         """Records that a revision is known to exist."""
         self.known = max(self.known, revision)
 
@@ -136,7 +136,7 @@
         """Waits for the next change."""
         await self._changed.wait()
 
-    async def reach(self, revision: int, timeout: float) -> bool:
+    async def wait_for_revision(self, revision: int, timeout: float) -> bool:
         """Waits until a revision is active, at most `timeout` seconds.
 
         Returns:
--- a/lentilmount/control/__main__.py
+++ b/lentilmount/control/__main__.py
@@ -11,7 +11,7 @@
 
 from lentilmount.control.lifecycle import Daemon
 from lentilmount.errors import LentilmountError
-from lentilmount.logflow import FlowHandler
+from lentilmount.logflow import NonBlockingHandler
 from lentilmount.logs import capture_libraries
 from lentilmount.platform.host_settings import (
     HostSettings,
@@ -58,7 +58,7 @@
 
 def main() -> int:
     """Reads the settings and runs the daemon; returns the exit status."""
-    handler = FlowHandler(sys.stdout.fileno(), 'info')
+    handler = NonBlockingHandler(sys.stdout.fileno(), 'info')
     try:
         path = read_path()
         settings = read_host_settings(path)
--- a/lentilmount/control/metrics.py
+++ b/lentilmount/control/metrics.py
@@ -118,7 +118,7 @@
         """Counts a service lost to another daemon."""
         self._ownership_losses.inc({'service': service})
 
-    def count_pace(self, is_slower: bool) -> None:
+    def count_throttle_change(self, is_slower: bool) -> None:
         """Counts a change of a task's CPU share."""
         self._throttlings.inc({'direction': 'down' if is_slower else 'up'})
 
--- a/lentilmount/control/state_writer.py
+++ b/lentilmount/control/state_writer.py
@@ -38,7 +38,7 @@
 
 log = logbook.Logger('commits')
 
-COMMIT_SECONDS = 0.03
+WRITE_INTERVAL_SECONDS = 0.03
 """Interval between writes. Each takes 6 ms of the partition's time, so an owner
 leaves four fifths of it to submissions."""
 
@@ -188,7 +188,9 @@
                 break
             await self._write_changes()
             pause = (
-                START_COMMIT_SECONDS if self._pending_starts else COMMIT_SECONDS
+                START_COMMIT_SECONDS
+                if self._pending_starts
+                else WRITE_INTERVAL_SECONDS
             )
             await asyncio.sleep(pause)
         self._finished.set()
--- a/lentilmount/control/task_control.py
+++ b/lentilmount/control/task_control.py
@@ -131,7 +131,7 @@
                 cpu_percent,
                 extra={'task': str(task.id), 'worker': worker.id},
             )
-            self.metrics.count_pace(cpu_percent < task.cpu_percent)
+            self.metrics.count_throttle_change(cpu_percent < task.cpu_percent)
             if cpu_percent == 0:
                 self._suspended_since.setdefault(task, now)
             else:
--- a/lentilmount/control/worker_session.py
+++ b/lentilmount/control/worker_session.py
@@ -298,7 +298,7 @@
             self._started_ms is not None
             and report.started_ms != self._started_ms
         ):
-            self.restart('it restarted')
+            self.handle_restart('it restarted')
         self._started_ms = report.started_ms
         if not worker.has_answered:
             self._bound_inherited_leases()
@@ -339,7 +339,7 @@
         and run them twice.
         """
         if self._started_ms is None or self._started_ms < started_ms:
-            self.restart('it registered anew')
+            self.handle_restart('it registered anew')
 
     def acknowledge(self, incarnation: int, number: int) -> None:
         """Acknowledges run ends up to a number, for one incarnation.
@@ -352,7 +352,7 @@
             self.written_end = max(self.written_end, number)
         self.end_written.set()
 
-    def restart(self, why: str) -> None:
+    def handle_restart(self, why: str) -> None:
         """Resets the session after a restart: all runs there have ended."""
         self.received_end = self.written_end = 0
         self.incarnation += 1
--- a/lentilmount/daemon/__main__.py
+++ b/lentilmount/daemon/__main__.py
@@ -61,7 +61,7 @@
     """Builds the reloader that applies new settings to a running daemon."""
 
     def set_access(new: Settings) -> None:
-        daemon.gate.replace(new.access)
+        daemon.authenticator.replace(new.access)
 
     def set_level(new: Settings) -> None:
         set_log_level(handler, new.log_level)
--- a/lentilmount/daemon/api.py
+++ b/lentilmount/daemon/api.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lentilmount.access import Gate, Grant, Verb
-from lentilmount.commands.configure import Configurer
-from lentilmount.commands.jobs import JobDesk, Submitted
+from lentilmount.access import Authenticator, Grant, Verb
+from lentilmount.commands.configure import ConfigurationCommands
+from lentilmount.commands.jobs import JobCommands, JobResult
 from lentilmount.configuration import Configuration
 from lentilmount.daemon.survey import Survey
 from lentilmount.daemon.web import Handler
@@ -30,7 +30,7 @@
     def find_fault(self) -> str:
         """Returns why the daemon is not ready; empty if it is ready."""
 
-    async def notify_owner(self, submitted: Submitted) -> None:
+    async def notify_owner(self, submitted: JobResult) -> None:
         """Notifies the owner of a slice of a new entry in its inbox."""
 
     async def wait_for_revision(self, revision: int) -> None:
@@ -41,10 +41,10 @@
 class Api:
     """The objects that the API's handlers use."""
 
-    gate: Gate
+    authenticator: Authenticator
     configuration: Configuration
-    configurer: Configurer
-    jobs: JobDesk
+    configuration_commands: ConfigurationCommands
+    jobs: JobCommands
     reader: Reader
     watcher: Watcher
     survey: Survey
@@ -69,7 +69,7 @@
 
 def list_visible(grant: Grant) -> frozenset[str] | None:
     """Returns the teams whose resources a grant may read; None for all."""
-    return None if grant.sees_platform else frozenset({grant.team})
+    return None if grant.can_see_platform else frozenset({grant.team})
 
 
 class ApiHandler(Handler):
@@ -77,7 +77,7 @@
 
     def initialize(self, api: Api) -> None:  # type: ignore[override]
         """Sets the objects that the handlers use."""
-        super().initialize(api.gate)
+        super().initialize(api.authenticator)
         self.api = api
 
     def read_number(self, name: str, default: int, maximum: int) -> int:
--- a/lentilmount/daemon/callers.py
+++ b/lentilmount/daemon/callers.py
@@ -6,7 +6,7 @@
 
 from tornado.web import Application
 
-from lentilmount.access import Gate, Verb
+from lentilmount.access import Authenticator, Verb
 from lentilmount.daemon.web import Handler, NoRouteHandler
 from lentilmount.errors import FieldProblem, InvalidError
 from lentilmount.routing.forward import (
@@ -30,9 +30,9 @@
       is_disconnected: Whether the caller closed its connection.
     """
 
-    def initialize(self, gate: Gate, router: Router) -> None:  # type: ignore[override]
+    def initialize(self, authenticator: Authenticator, router: Router) -> None:  # type: ignore[override]
         """Sets the router."""
-        super().initialize(gate)
+        super().initialize(authenticator)
         self.router = router
         self.is_disconnected = False
 
@@ -102,9 +102,11 @@
         return millis / 1000
 
 
-def make_callers_app(gate: Gate, router: Router) -> Application:
+def make_callers_app(
+    authenticator: Authenticator, router: Router
+) -> Application:
     """Builds the callers' HTTP application."""
-    parts: dict[str, Any] = {'gate': gate}
+    parts: dict[str, Any] = {'authenticator': authenticator}
     return Application(
         [
             (
--- a/lentilmount/daemon/control.py
+++ b/lentilmount/daemon/control.py
@@ -25,7 +25,7 @@
 from lentilmount.daemon.feed import WorkerFeed
 from lentilmount.daemon.follower import Follower
 from lentilmount.daemon.gossip import Gossip
-from lentilmount.daemon.heartbeats import News
+from lentilmount.daemon.heartbeats import VersionReport
 from lentilmount.daemon.housekeeping import run_housekeeping
 from lentilmount.daemon.peers import PeerOptions, Peers
 from lentilmount.daemon.registry import Registry
@@ -195,10 +195,10 @@
         owned = slice_name in self.manager.owners
         return owned or self._ownership_policy.is_preferred(slice_name)
 
-    def _get_report(self) -> News:
+    def _get_report(self) -> VersionReport:
         return self.follower.get_report()
 
-    def _handle_report(self, report: News) -> None:
+    def _handle_report(self, report: VersionReport) -> None:
         self.follower.handle_report(report)
 
     def answer_peer(
--- a/lentilmount/daemon/follower.py
+++ b/lentilmount/daemon/follower.py
@@ -20,7 +20,7 @@
 from lentilmount.codec import encode, structure_resource
 from lentilmount.configuration import CONFIGURATION_LOG, Change, Configuration
 from lentilmount.coordination.table import Row, Table, UnavailableError
-from lentilmount.daemon.heartbeats import News
+from lentilmount.daemon.heartbeats import VersionReport
 from lentilmount.daemon.slicelog import SliceLogs
 from lentilmount.events import EventKind, EventLog
 from lentilmount.queries.revisions import read_changes, read_snapshot
@@ -90,7 +90,7 @@
         self._fetch = fetch
         self._announce = announce
         self._announced: tuple[int, dict[str, int]] = (0, {})
-        self._newest_report = News()
+        self._newest_report = VersionReport()
         self._origins: dict[str, str] = {}
         self._peer_sequences: dict[str, tuple[int, str]] = {}
         self._wake = asyncio.Event()
@@ -100,9 +100,9 @@
         """Makes the follower poll the table now."""
         self._wake.set()
 
-    def handle_report(self, report: News) -> None:
+    def handle_report(self, report: VersionReport) -> None:
         """Records which versions a peer has; newer ones are fetched from it."""
-        self._configuration.note(report.revision)
+        self._configuration.record_known_revision(report.revision)
         if report.revision > self._newest_report.revision:
             self._newest_report = report
         if report.revision > self._configuration.revision:
@@ -116,9 +116,9 @@
             if sequence > self.logs.get_sequence(name):
                 self._peer_ahead.set()
 
-    def get_report(self) -> News:
+    def get_report(self) -> VersionReport:
         """Returns the versions to report to peers."""
-        return News(
+        return VersionReport(
             self._configuration.revision,
             self.logs.heads,
             self.logs.list_services(),
@@ -204,7 +204,7 @@
 
     async def _follow_configuration(self, counter: Row) -> None:
         newest, configuration = counter.version, self._configuration
-        configuration.note(newest)
+        configuration.record_known_revision(newest)
         before = configuration.revision
         if newest <= before:
             return
@@ -240,7 +240,7 @@
                 self.apply_reply(reply)
             self._record_revision(before)
             if self._configuration.is_behind:
-                self._newest_report = News()
+                self._newest_report = VersionReport()
                 self._wake.set()
         for name, (sequence, sender) in list(self._peer_sequences.items()):
             known = self.logs.get_sequence(name)
--- a/lentilmount/daemon/heartbeats.py
+++ b/lentilmount/daemon/heartbeats.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class News:
+class VersionReport:
     """The versions of configuration and slices that a heartbeat reports.
 
     Attributes:
@@ -177,7 +177,7 @@
     return changed
 
 
-class Courier:
+class HeartbeatCodec:
     """Builds this daemon's heartbeats and processes those of peers.
 
     Args:
@@ -192,8 +192,8 @@
         self,
         membership: Membership,
         hybrid: HybridClock,
-        get_report: Callable[[], News],
-        handle_report: Callable[[News], None],
+        get_report: Callable[[], VersionReport],
+        handle_report: Callable[[VersionReport], None],
         gossip: Gossip | None = None,
     ):
         self._membership = membership
@@ -234,7 +234,10 @@
         return message
 
     def _add_others(
-        self, message: peer_pb2.Heartbeat, state: StreamState, report: News
+        self,
+        message: peer_pb2.Heartbeat,
+        state: StreamState,
+        report: VersionReport,
     ) -> None:
         """Adds other members and the versions of slices, where changed."""
 
@@ -273,7 +276,7 @@
         if self._gossip is not None:
             self._gossip.read(message)
         self._handle_report(
-            News(
+            VersionReport(
                 message.revision,
                 dict(message.sequences),
                 dict(message.services),
@@ -297,9 +300,9 @@
         """Receives a heartbeat; returns None at the end of the stream."""
 
 
-async def converse(
+async def exchange_heartbeats(
     stream: HeartbeatStream,
-    courier: Courier,
+    codec: HeartbeatCodec,
     get_urgent: Callable[[], asyncio.Event],
     interval: float,
     silence: float,
@@ -309,7 +312,7 @@
 
     Args:
       stream: The stream.
-      courier: Builds and processes heartbeats.
+      codec: Builds and processes heartbeats.
       get_urgent: Returns an event that triggers the next heartbeat early.
       interval: Seconds between two heartbeats.
       silence: Timeout in seconds of each send and each receive.
@@ -325,13 +328,13 @@
         while True:
             urgent = get_urgent()
             async with asyncio.timeout(silence):
-                await stream.send_message(courier.write(state, is_urgent))
+                await stream.send_message(codec.write(state, is_urgent))
             await wait_with_timeout(urgent, interval)
             is_urgent = urgent.is_set()
 
     sending = asyncio.create_task(send())
     receiving = asyncio.create_task(
-        _receive(stream, courier, state, silence, on_heartbeat)
+        _receive(stream, codec, state, silence, on_heartbeat)
     )
     both = (sending, receiving)
     try:
@@ -347,7 +350,7 @@
 
 async def _receive(
     stream: HeartbeatStream,
-    courier: Courier,
+    codec: HeartbeatCodec,
     state: StreamState,
     silence: float,
     on_heartbeat: Callable[[peer_pb2.Heartbeat], None],
@@ -357,5 +360,5 @@
             message = await stream.recv_message()
         if message is None:
             return
-        courier.read(message, state)
+        codec.read(message, state)
         on_heartbeat(message)
--- a/lentilmount/daemon/lifecycle.py
+++ b/lentilmount/daemon/lifecycle.py
@@ -12,10 +12,10 @@
 from grpclib.server import Server
 from tornado.web import Application
 
-from lentilmount.access import Gate
+from lentilmount.access import Authenticator
 from lentilmount.clock import SystemClock
-from lentilmount.commands.configure import Configurer
-from lentilmount.commands.jobs import JobDesk, Submitted
+from lentilmount.commands.configure import ConfigurationCommands
+from lentilmount.commands.jobs import JobCommands, JobResult
 from lentilmount.configuration import Configuration
 from lentilmount.daemon.api import Api
 from lentilmount.daemon.callers import make_callers_app
@@ -36,7 +36,7 @@
 from lentilmount.daemon.security import Security
 from lentilmount.daemon.survey import Survey
 from lentilmount.events import EventKind, EventLog
-from lentilmount.metrics import Gauged, Metrics
+from lentilmount.metrics import GaugeValue, Metrics
 from lentilmount.queries.resources import Reader
 from lentilmount.queries.watch import Watcher
 from lentilmount.routing.directory import UpstreamDirectory
@@ -71,7 +71,7 @@
         self.apps: dict[str, Application] = {}
         self.stopping = False
         self.failed = asyncio.Event()
-        self.gate = Gate(settings.access)
+        self.authenticator = Authenticator(settings.access)
         self.security = Security(settings.tls)
         clock = SystemClock()
         self.events = EventLog(settings.name, clock)
@@ -170,7 +170,7 @@
         listeners = (
             (
                 'callers',
-                make_callers_app(self.gate, self.router),
+                make_callers_app(self.authenticator, self.router),
                 counter.count_call,
             ),
             (
@@ -180,7 +180,7 @@
             ),
             (
                 'metrics',
-                make_metrics_app(self.gate, self.metrics),
+                make_metrics_app(self.authenticator, self.metrics),
                 lambda _: None,
             ),
         )
@@ -206,10 +206,10 @@
         slices = self._control.slices
         reader = Reader(self.table, self.configuration, self.directory, slices)
         return Api(
-            gate=self.gate,
+            authenticator=self.authenticator,
             configuration=self.configuration,
-            configurer=Configurer(self.table),
-            jobs=JobDesk(self.table, slices),
+            configuration_commands=ConfigurationCommands(self.table),
+            jobs=JobCommands(self.table, slices),
             reader=reader,
             watcher=Watcher(self.table, slices, self._control.get_positions),
             survey=Survey(self._control.peers),
@@ -219,7 +219,7 @@
             max_watches=self.settings.limits.watches,
         )
 
-    def _read_gauges(self) -> list[Gauged]:
+    def _read_gauges(self) -> list[GaugeValue]:
         owners = list(self.manager.owners.values())
         values = {
             'ready': not self.find_fault(),
@@ -231,21 +231,26 @@
             'in_flight': self._drain.in_flight,
         }
         return [
-            *(Gauged(f'lentilmount_{n}', float(v)) for n, v in values.items()),
+            *(
+                GaugeValue(f'lentilmount_{n}', float(v))
+                for n, v in values.items()
+            ),
             *list_task_gauges(
                 t for o in owners for t in o.ledger.tasks.values()
             ),
         ]
 
-    async def notify_owner(self, submitted: Submitted) -> None:
+    async def notify_owner(self, submitted: JobResult) -> None:
         """See `StatusSource`."""
         await self._control.wake_owner(submitted.slice_name)
 
     async def wait_for_revision(self, revision: int) -> None:
         """See `StatusSource`."""
-        self.configuration.note(revision)
+        self.configuration.record_known_revision(revision)
         self._control.follower.wake()
-        await self.configuration.reach(revision, REVISION_WAIT_SECONDS)
+        await self.configuration.wait_for_revision(
+            revision, REVISION_WAIT_SECONDS
+        )
 
     def describe(self) -> dict[str, Any]:
         """See `StatusSource`."""
--- a/lentilmount/daemon/metrics.py
+++ b/lentilmount/daemon/metrics.py
@@ -9,21 +9,23 @@
 
 from tornado.web import Application, RequestHandler
 
-from lentilmount.access import Gate, Verb
+from lentilmount.access import Authenticator, Verb
 from lentilmount.batch.records import Task
 from lentilmount.configuration import Configuration
 from lentilmount.daemon.callers import CallHandler
 from lentilmount.daemon.web import Handler, NoRouteHandler
 from lentilmount.events import EventKind, EventLog
-from lentilmount.metrics import TEAM_LABEL, Gauged, Metrics
+from lentilmount.metrics import TEAM_LABEL, GaugeValue, Metrics
 
 
 class MetricsHandler(Handler):
     """Answers scrapes of the metrics."""
 
-    def initialize(self, gate: Gate, metrics: Metrics) -> None:  # type: ignore[override]
+    def initialize(  # type: ignore[override]
+        self, authenticator: Authenticator, metrics: Metrics
+    ) -> None:
         """Sets the metrics."""
-        super().initialize(gate)
+        super().initialize(authenticator)
         self.metrics = metrics
 
     def get(self) -> None:
@@ -31,19 +33,21 @@
         grant = self.admit()
         grant.require(Verb.READ, grant.team)
         accepts = self.request.headers.get_list('Accept')
-        body, headers = self.metrics.render(grant.sees, accepts)
+        body, headers = self.metrics.render(grant.can_see, accepts)
         for name, value in headers.items():
             self.set_header(name, value)
         self.finish(body)
 
 
-def make_metrics_app(gate: Gate, metrics: Metrics) -> Application:
+def make_metrics_app(
+    authenticator: Authenticator, metrics: Metrics
+) -> Application:
     """Builds the metrics' HTTP application."""
-    parts: dict[str, Any] = {'gate': gate, 'metrics': metrics}
+    parts: dict[str, Any] = {'authenticator': authenticator, 'metrics': metrics}
     return Application(
         [('/metrics', MetricsHandler, parts)],
         default_handler_class=NoRouteHandler,
-        default_handler_args={'gate': gate},
+        default_handler_args={'authenticator': authenticator},
     )
 
 
@@ -108,12 +112,12 @@
 
     def count_command(self, handler: RequestHandler) -> None:
         """Counts the answer to a request of the resource API."""
-        self._metrics.observe_command(handler.get_status())
+        self._metrics.observe_api_request(handler.get_status())
 
 
-def list_task_gauges(tasks: Iterable[Task]) -> Iterator[Gauged]:
+def list_task_gauges(tasks: Iterable[Task]) -> Iterator[GaugeValue]:
     """Yields the number of tasks of each team in each phase."""
     counts = collections.Counter((t.team, t.phase.value) for t in tasks)
     for (team, phase), count in counts.items():
         labels = {TEAM_LABEL: team, 'phase': phase}
-        yield Gauged('lentilmount_tasks', count, labels)
+        yield GaugeValue('lentilmount_tasks', count, labels)
--- a/lentilmount/daemon/operators.py
+++ b/lentilmount/daemon/operators.py
@@ -114,7 +114,9 @@
 
     async def _preview(self, resource: Resource) -> None:
         preview_source = (
-            self.api.jobs if resource.kind is Kind.JOB else self.api.configurer
+            self.api.jobs
+            if resource.kind is Kind.JOB
+            else self.api.configuration_commands
         )
         current = await preview_source.preview(resource)
         changes = list_changes(current, resource)
@@ -139,7 +141,7 @@
         self.reply(answer, 201 if submitted.changed else 200)
 
     async def _apply(self, grant: Grant, resource: Resource) -> None:
-        accepted = await self.api.configurer.apply(
+        accepted = await self.api.configuration_commands.apply(
             resource, make_command_id(self, grant)
         )
         _log_change(grant, 'applied', resource.path, accepted.changed)
@@ -190,7 +192,7 @@
             _log_change(grant, 'deleted', path, changed=True)
             self.reply({'resource': deleted.resource, 'changed': True})
             return
-        accepted = await self.api.configurer.delete(
+        accepted = await self.api.configuration_commands.delete(
             path,
             self.read_number('revision', 0, MAX_REVISION),
             make_command_id(self, grant),
@@ -250,7 +252,7 @@
 
 
 def _filter_status(grant: Grant, daemon: dict[str, Any]) -> dict[str, Any]:
-    if grant.sees_platform:
+    if grant.can_see_platform:
         return daemon
     return {name: daemon[name] for name in _PUBLIC_STATUS}
 
@@ -311,5 +313,5 @@
             (rf'{ROOT}/([a-z]+)/([^/]+)/([^/]+)', ResourceHandler, parts),
         ],
         default_handler_class=NoRouteHandler,
-        default_handler_args={'gate': api.gate},
+        default_handler_args={'authenticator': api.authenticator},
     )
--- a/lentilmount/daemon/peers.py
+++ b/lentilmount/daemon/peers.py
@@ -21,7 +21,11 @@
 from lentilmount.coordination.membership import Member, Membership
 from lentilmount.coordination.mesh import choose_peers
 from lentilmount.daemon.gossip import Gossip
-from lentilmount.daemon.heartbeats import Courier, News, converse
+from lentilmount.daemon.heartbeats import (
+    HeartbeatCodec,
+    VersionReport,
+    exchange_heartbeats,
+)
 from lentilmount.events import EventKind, EventLog
 from lentilmount.queries.timeline import EventFilter, select_events
 from lentilmount.wire import peer_grpc, peer_pb2
@@ -85,8 +89,8 @@
         membership: Membership,
         events: EventLog,
         options: PeerOptions,
-        get_report: Callable[[], News],
-        handle_report: Callable[[News], None],
+        get_report: Callable[[], VersionReport],
+        handle_report: Callable[[VersionReport], None],
         monotonic: Callable[[], float],
         tls: ssl.SSLContext | None = None,
         gossip: Gossip | None = None,
@@ -94,7 +98,7 @@
         self._membership = membership
         self._events = events
         self._options = options
-        self._courier = Courier(
+        self._codec = HeartbeatCodec(
             membership, events.hybrid, get_report, handle_report, gossip
         )
         self._monotonic = monotonic
@@ -197,9 +201,9 @@
         stream: object,
         on_heartbeat: Callable[[peer_pb2.Heartbeat], None] = lambda _: None,
     ) -> None:
-        await converse(
+        await exchange_heartbeats(
             stream,  # type: ignore[arg-type]
-            self._courier,
+            self._codec,
             lambda: self._urgent,
             self._options.heartbeat_seconds,
             self._options.silence_seconds,
--- a/lentilmount/daemon/registry.py
+++ b/lentilmount/daemon/registry.py
@@ -82,7 +82,7 @@
         """Polls the rows until cancelled."""
         while True:
             try:
-                await self.look()
+                await self.poll()
             except UnavailableError:
                 log.debug(
                     'The member rows cannot be read; the table does not answer.'
@@ -92,7 +92,7 @@
             pause = min(pause, self._poll_seconds)
             await asyncio.sleep(pause * random.uniform(*JITTER))
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Reads all rows, updates this daemon's, and deletes stale ones.
 
         Raises:
--- a/lentilmount/daemon/web.py
+++ b/lentilmount/daemon/web.py
@@ -9,7 +9,7 @@
 import logbook
 from tornado.web import HTTPError, RequestHandler, stream_request_body
 
-from lentilmount.access import Gate, Grant
+from lentilmount.access import Authenticator, Grant
 from lentilmount.codec import encode
 from lentilmount.daemon.bodies import BODY_LIMITS, BodyLimits
 from lentilmount.errors import (
@@ -50,9 +50,9 @@
 
     is_open = False
 
-    def initialize(self, gate: Gate) -> None:
-        """Sets the gate, which checks tokens."""
-        self.gate = gate
+    def initialize(self, authenticator: Authenticator) -> None:
+        """Sets the authenticator, which checks tokens."""
+        self.authenticator = authenticator
         self._limits: BodyLimits = self.settings.get(BODY_LIMITS, BodyLimits())
         self._grant: Grant | None = None
         self._chunks: list[bytes] = []
@@ -123,7 +123,7 @@
         """Checks the request's token and returns what it allows."""
         if self._grant is None:
             header = self.request.headers.get('Authorization', '')
-            self._grant = self.gate.admit(header)
+            self._grant = self.authenticator.authenticate(header)
         return self._grant
 
     def reply(self, value: Any, status: int = 200) -> None:
--- a/lentilmount/logflow.py
+++ b/lentilmount/logflow.py
@@ -20,7 +20,7 @@
 
 from lentilmount.logs import LEVELS, make_line
 
-LINES_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 """Limit for each kind of line. It logs in full the 100 or so starts a second
 of the current deployment size. A line costs about 25 us, so one kind uses at
 most 0.5% of a core."""
@@ -32,7 +32,7 @@
 """Name of the logger, and the message before formatting."""
 
 
-class FlowHandler(logbook.Handler):  # type: ignore[misc]
+class NonBlockingHandler(logbook.Handler):  # type: ignore[misc]
     """Writes JSON lines to a file descriptor that never blocks.
 
     Args:
@@ -66,7 +66,7 @@
             self._line_counts.clear()
         kind = (record.channel or '', str(record.msg))
         self._line_counts[kind] += 1
-        if self._line_counts[kind] > LINES_A_SECOND:
+        if self._line_counts[kind] > MAX_LINES_PER_SECOND:
             self._suppressed[kind] += 1
             return
         self._write(make_line(record))
--- a/lentilmount/metrics.py
+++ b/lentilmount/metrics.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Gauged:
+class GaugeValue:
     """One gauge value, read when the metrics are scraped.
 
     Attributes:
@@ -55,7 +55,7 @@
 class Metrics:
     """The metrics of one daemon."""
 
-    def __init__(self, read_gauges: Callable[[], Iterable[Gauged]]):
+    def __init__(self, read_gauges: Callable[[], Iterable[GaugeValue]]):
         self._read_gauges = read_gauges
         registry = Registry()
         self._requests = Counter(
@@ -83,17 +83,17 @@
         self._requests.inc({**labels, 'status': str(status)})
         self._seconds.observe(labels, seconds)
 
-    def observe_command(self, status: int) -> None:
+    def observe_api_request(self, status: int) -> None:
         """Counts a request to the resource API."""
         self._commands.inc({'status': str(status)})
 
     def render(
-        self, sees: Callable[[str], bool], accepts: Sequence[str]
+        self, can_see: Callable[[str], bool], accepts: Sequence[str]
     ) -> tuple[bytes, dict[str, str]]:
         """Builds the response to a scrape.
 
         Args:
-          sees: Returns whether a team's series are visible; series without
+          can_see: Returns whether a team's series are visible; series without
             a team label belong to team ''.
           accepts: Values of the Accept header.
 
@@ -107,14 +107,14 @@
             (self._commands, Counter),
         )
         for collector, cls in collectors:
-            _copy_visible(collector, cls, sees, shown)
+            _copy_visible(collector, cls, can_see, shown)
         gauges = {
             name: Gauge(name, doc, registry=shown)
             for name, doc in GAUGES.items()
         }
-        for gauged in self._read_gauges():
-            if sees(gauged.labels.get(TEAM_LABEL, '')):
-                gauges[gauged.name].set(gauged.labels, gauged.value)
+        for gauge in self._read_gauges():
+            if can_see(gauge.labels.get(TEAM_LABEL, '')):
+                gauges[gauge.name].set(gauge.labels, gauge.value)
         body, headers = render(shown, accepts)
         return body, dict(headers)
 
@@ -122,11 +122,11 @@
 def _copy_visible(
     collector: Collector,
     cls: type[Collector],
-    sees: Callable[[str], bool],
+    can_see: Callable[[str], bool],
     shown: Registry,
 ) -> None:
     copy = cls(collector.name, collector.doc, registry=shown)
     for key, value in collector.values.items():
         labels = json.loads(key)
-        if sees(labels.get(TEAM_LABEL, '')):
+        if can_see(labels.get(TEAM_LABEL, '')):
             copy.values[labels] = value
--- a/lentilmount/queries/pages.py
+++ b/lentilmount/queries/pages.py
@@ -33,7 +33,7 @@
     after: str = ''
     limit: int = DEFAULT_LIMIT
 
-    def sees(self, team: str) -> bool:
+    def can_see(self, team: str) -> bool:
         """Returns whether a team's resources are visible and match."""
         visible = self.teams is None or team in self.teams
         return visible and (not self.team or team == self.team)
@@ -43,7 +43,7 @@
         metadata = resource.metadata
         is_team = resource.kind is Kind.TEAM
         return (
-            self.sees(metadata.name if is_team else metadata.team)
+            self.can_see(metadata.name if is_team else metadata.team)
             and metadata.name.startswith(self.name)
             and self.phase in (None, resource.status.phase)
         )
--- a/lentilmount/queries/resources.py
+++ b/lentilmount/queries/resources.py
@@ -113,7 +113,7 @@
             return [wanted.team]
         declared = self._configuration.list_kind(Kind.TEAM)
         names = (resource.metadata.name for resource in declared)
-        return [name for name in names if wanted.sees(name)]
+        return [name for name in names if wanted.can_see(name)]
 
     async def _find_worker(self, name: str) -> Resource | None:
         zones = sorted({get_zone(name) for name in self._slices})
--- a/lentilmount/rows.py
+++ b/lentilmount/rows.py
@@ -28,7 +28,7 @@
     return f'{make_path(Kind.JOB, team, name)}/0'
 
 
-def make_stone(slice_name: str) -> dict[str, Any]:
+def make_tombstone(slice_name: str) -> dict[str, Any]:
     """Returns the body of a tombstone, which reserves a deleted job's name."""
     return {'deleted': True, 'slice': slice_name}
 
--- a/stand_ins/slices.py
+++ b/stand_ins/slices.py
@@ -61,7 +61,7 @@
 
 @attrs.define(eq=False)
 class MemoryLink:
-    """The `WorkerLink` protocol: keeps what it was sent.
+    """The `PolicySession` protocol: keeps what it was sent.
 
     Attributes:
       name: The worker.
@@ -78,9 +78,9 @@
     wakes: int = 0
 
     def send(self, command: Command) -> None:
-        """See `WorkerLink`."""
+        """See `PolicySession`."""
         self.sent.append(command)
 
     def wake(self) -> None:
-        """See `WorkerLink`."""
+        """See `PolicySession`."""
         self.wakes += 1
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -10,11 +10,11 @@
 
 from lentilmount import configuration as configuration_module
 from lentilmount.commands import configure
-from lentilmount.commands.configure import Configurer
+from lentilmount.commands.configure import ConfigurationCommands
 from lentilmount.configuration import Change, Configuration
 from lentilmount.coordination import transactions
 from lentilmount.daemon.follower import Follower
-from lentilmount.daemon.heartbeats import News
+from lentilmount.daemon.heartbeats import VersionReport
 from lentilmount.daemon.housekeeping import RETENTION_SECONDS, prune_requests
 from lentilmount.errors import ConflictError, InvalidError, StoreError
 from lentilmount.events import EventLog
@@ -80,7 +80,7 @@
         super().__init__()
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(transactions, 'FIRST_PAUSE_SECONDS', 0.0)
-        self.patch.setattr(configure, 'LOG_KEPT', 3)
+        self.patch.setattr(configure, 'MAX_LOG_ENTRIES', 3)
         self.patch.setattr(configuration_module, 'RECENT_CHANGES', 2)
         self.patch.setattr(revisions, 'PAGE', 2)
         self.runner = asyncio.Runner()
@@ -145,9 +145,9 @@
         return max(changed, default=0)
 
     def send(self, request_id: str, resource: Resource) -> None:
-        configurer = Configurer(self.table)
+        configuration_commands = ConfigurationCommands(self.table)
         try:
-            self.runner.run(configurer.apply(resource, request_id))
+            self.runner.run(configuration_commands.apply(resource, request_id))
             self.unanswered.pop(request_id, None)
         except ConflictError as error:
             extra = error.extra
@@ -179,7 +179,9 @@
     def send_report(self, number: int, other: int) -> None:
         source, target = self.daemons[f'd{number}'], self.daemons[f'd{other}']
         revision = source.configuration.revision
-        target.follower.handle_report(News(revision, sender=f'd{number}'))
+        target.follower.handle_report(
+            VersionReport(revision, sender=f'd{number}')
+        )
         self.runner.run(target.follower.fetch_from_peers())
         assert target.configuration.revision >= revision
 
@@ -236,11 +238,14 @@
 
 def test_request_id_identifies_one_command() -> None:
     async def check() -> None:
-        configurer = Configurer(FaultyTable())
-        first = await configurer.apply(make_team('one', 2.0), 'id')
-        assert await configurer.apply(make_team('one', 2.0), 'id') == first
+        configuration_commands = ConfigurationCommands(FaultyTable())
+        first = await configuration_commands.apply(make_team('one', 2.0), 'id')
+        assert (
+            await configuration_commands.apply(make_team('one', 2.0), 'id')
+            == first
+        )
         with pytest.raises(InvalidError):
-            await configurer.apply(make_team('one', 3.0), 'id')
+            await configuration_commands.apply(make_team('one', 3.0), 'id')
 
     run(check())
 
@@ -248,10 +253,10 @@
 def test_concurrent_commands_are_all_accepted() -> None:
     async def check() -> None:
         table = FaultyTable()
-        configurers = [Configurer(table) for _ in range(4)]
+        instances = [ConfigurationCommands(table) for _ in range(4)]
         await asyncio.gather(
             *(
-                configurers[n % 4].apply(make_team(f't{n}', 2.0), f'id-{n}')
+                instances[n % 4].apply(make_team(f't{n}', 2.0), f'id-{n}')
                 for n in range(60)
             )
         )
@@ -276,7 +281,7 @@
                     number = await revisions.read_revision(self)
                     old = next(r for r in rows if r.key.sort.endswith(team))
                     revision = old.body['metadata']['revision']
-                    await Configurer(self).apply(
+                    await ConfigurationCommands(self).apply(
                         make_team(team, 3.0, revision), f'{team}-{number}'
                     )
             return rows
@@ -284,7 +289,7 @@
     async def check() -> None:
         table = TableWithConcurrentWrites()
         for team in TEAMS:
-            await Configurer(table).apply(make_team(team, 2.0), team)
+            await ConfigurationCommands(table).apply(make_team(team, 2.0), team)
         snapshot = await read_snapshot(table)
         assert snapshot is not None
         revision, resources = snapshot
@@ -297,12 +302,12 @@
 def test_not_ready_until_the_newest_known_revision_is_in_force() -> None:
     """A daemon that starts with an old revision must not undo changes."""
     configuration = Configuration()
-    configuration.note(5)
+    configuration.record_known_revision(5)
     configuration.load(3, [make_team('one', 2.0)])
     assert not configuration.is_ready
     configuration.load(5, [make_team('one', 3.0)])
     assert configuration.is_ready
-    configuration.note(6)
+    configuration.record_known_revision(6)
     assert configuration.is_ready
     assert configuration.is_behind
 
@@ -326,7 +331,7 @@
     async def check() -> None:
         table = FaultyTable()
         for number in range(3):
-            await Configurer(table).apply(
+            await ConfigurationCommands(table).apply(
                 make_team(f't{number}', 2.0), f'{number}'
             )
         rows = await table.scan('request')
--- a/tests/test_diagnostic_logs.py
+++ b/tests/test_diagnostic_logs.py
@@ -15,7 +15,7 @@
 from lentilmount.context import Environment
 from lentilmount.control.dispatcher import log_starts
 from lentilmount.core import main
-from lentilmount.logflow import LINES_A_SECOND, FlowHandler
+from lentilmount.logflow import MAX_LINES_PER_SECOND, NonBlockingHandler
 from lentilmount.status import ExitStatus
 from stand_ins.rowstore import Fault
 from tests.helpers import run
@@ -100,7 +100,7 @@
     starts = [(f'{n:016x}.0.0.{n}', 1, f'w-{n}') for n in range(700)]
     with (
         open(path, 'wb', buffering=0) as file,
-        FlowHandler(file.fileno(), 'info').applicationbound(),
+        NonBlockingHandler(file.fileno(), 'info').applicationbound(),
     ):
         log_starts(starts)
     for n in (0, 99, 100, 699):
@@ -193,8 +193,8 @@
     reader, writer = os.pipe()
     now = [10.0]
     log = logbook.Logger('part')
-    with FlowHandler(writer, 'info', lambda: now[0]):
-        for number in range(LINES_A_SECOND + 50):
+    with NonBlockingHandler(writer, 'info', lambda: now[0]):
+        for number in range(MAX_LINES_PER_SECOND + 50):
             log.info('Again {}.', number)
         log.info('Something else.')
         now[0] = 11.0
@@ -202,7 +202,9 @@
     lines = read_lines(reader)
     messages = [line['message'] for line in lines]
     assert messages.count('Something else.') == 1
-    assert len([m for m in messages if 'Again' in str(m)]) == LINES_A_SECOND
+    assert (
+        len([m for m in messages if 'Again' in str(m)]) == MAX_LINES_PER_SECOND
+    )
     assert 'Left out 50 lines.' in messages
     os.close(reader)
     os.close(writer)
@@ -213,7 +215,7 @@
     reader, writer = os.pipe()
     now = [0.0]
     log = logbook.Logger('part')
-    handler = FlowHandler(writer, 'info', lambda: now[0])
+    handler = NonBlockingHandler(writer, 'info', lambda: now[0])
     with handler:
         for number in range(3000):
             now[0] = number / 10
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -246,15 +246,15 @@
     load = Load(
         workers=12,
         serving_jobs=9,
-        filling_per_second=1.5,
-        plain_per_second=1.0,
+        best_effort_per_second=1.5,
+        other_per_second=1.0,
         seconds=20.0,
     )
     result = Emulation(load, 2).run()
     naive = Emulation(load, 2)
     naive.use_policy(_AllowAllModel(), _NoThrottler(_AllowAllModel()))
     naive_result = naive.run()
-    assert result.harms == 0
+    assert result.harm_periods == 0
     assert result.serving > 0.95
     assert naive_result.serving < 0.7
     assert result.filling > 0.85
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -208,11 +208,11 @@
         first, second = (
             Registry(table, node, 1.0, clock.monotonic) for node in (old, new)
         )
-        await first.look()
-        await second.look()
+        await first.poll()
+        await second.poll()
         assert new.local_member.incarnation == 10
-        await first.look()
-        await second.look()
+        await first.poll()
+        await second.poll()
         assert first.replaced
         assert not second.replaced
 
@@ -224,14 +224,14 @@
         table, clock = FaultyTable(), ManualClock()
         node = Membership(make_member('a', 1), TIMEOUT, clock.monotonic)
         registry = Registry(table, node, 1.0, clock.monotonic)
-        await registry.look()
+        await registry.poll()
         table.hold_writes = 4
         for _ in range(4):
             with contextlib.suppress(UnavailableError):
-                await registry.look()
+                await registry.poll()
         await table.release()
-        await registry.look()
-        await registry.look()
+        await registry.poll()
+        await registry.poll()
         assert not registry.replaced
 
     run(check())
@@ -249,9 +249,9 @@
             )
             for n in 'ab'
         ]
-        await registries[1].look()
+        await registries[1].poll()
         for _ in range(20):
-            await registries[0].look()
+            await registries[0].poll()
         rows = await table.scan('member')
         assert [row.key.sort for row in rows] == ['a']
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -58,12 +58,14 @@
 
 @pytest.mark.parametrize('name', LOADS)
 def test_replay_is_deterministic_and_below_its_bound(name: str) -> None:
-    load = attrs.evolve(LOADS[name], workers=6, lasting_jobs=4, seconds=12.0)
+    load = attrs.evolve(
+        LOADS[name], workers=6, long_running_jobs=4, seconds=12.0
+    )
     first, second = Replay(load, 1), Replay(load, 1)
     first.run()
     second.run()
     assert first.earned == second.earned
-    assert 0.0 < first.measure_worth() <= first.measure_bound()
+    assert 0.0 < first.measure_credit_share() <= first.measure_bound()
 
 
 def test_arrivals_do_not_depend_on_placements(
--- a/tests/test_routing_answers.py
+++ b/tests/test_routing_answers.py
@@ -8,7 +8,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from lentilmount.access import Gate
+from lentilmount.access import Authenticator
 from lentilmount.daemon.callers import make_callers_app
 from lentilmount.errors import Ran, UpstreamError
 from lentilmount.routing.forward import Result
@@ -105,7 +105,7 @@
 def serve(router: Router) -> tuple[HTTPServer, int]:
     """Starts a server for callers; returns it and its port."""
     (socket,) = bind_sockets(0, '127.0.0.1')
-    server = HTTPServer(make_callers_app(Gate((ACCESS,)), router))
+    server = HTTPServer(make_callers_app(Authenticator((ACCESS,)), router))
     server.add_socket(socket)
     return server, socket.getsockname()[1]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 import logbook
 import pytest
 
-from lentilmount.access import Gate
+from lentilmount.access import Authenticator
 from lentilmount.daemon.__main__ import make_reloader
 from lentilmount.daemon.lifecycle import Daemon
 from lentilmount.errors import AccessError, SettingsError
@@ -202,11 +202,11 @@
     handler = make_handler('text', 'info', io.StringIO())
     reloader = make_reloader(daemon, read, handler)
     with pytest.raises(AccessError):
-        daemon.gate.admit('Bearer t')
+        daemon.authenticator.authenticate('Bearer t')
     with logbook.TestHandler() as log:
         assert reloader.reload() == ('times.poll', 'zone_links')
         assert log.has_warning('Only a restart changes times.poll, zone_links.')
-    assert daemon.gate.admit('Bearer t').team == 'x'
+    assert daemon.authenticator.authenticate('Bearer t').team == 'x'
     assert daemon.settings.times.drain == 9.0
     assert daemon.settings.times.poll == old.times.poll
     assert handler.level == logbook.DEBUG
@@ -242,8 +242,10 @@
 
 
 def test_tokens_are_looked_up_by_hash() -> None:
-    gate = Gate([AccessSettings('a', hash_token('secret'), '*', ('read',))])
-    assert gate.admit('bearer secret').name == 'a'
+    authenticator = Authenticator(
+        [AccessSettings('a', hash_token('secret'), '*', ('read',))]
+    )
+    assert authenticator.authenticate('bearer secret').name == 'a'
     for header in ('', 'Bearer', 'secret', f'Bearer {hash_token("secret")}'):
         with pytest.raises(AccessError):
-            gate.admit(header)
+            authenticator.authenticate(header)
--- a/tests/test_state_writer.py
+++ b/tests/test_state_writer.py
@@ -172,7 +172,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On a busy owner no end was acknowledged, and next steps began late."""
-    monkeypatch.setattr(state_writer_module, 'COMMIT_SECONDS', 0.0)
+    monkeypatch.setattr(state_writer_module, 'WRITE_INTERVAL_SECONDS', 0.0)
 
     async def play() -> None:
         table = cast(PlatformTable, _BusyTable())
@@ -236,7 +236,7 @@
         state_writer.request_write()
         running = asyncio.create_task(state_writer.run())
         await slow.write_started.wait()
-        session.restart('it restarted')
+        session.handle_restart('it restarted')
         session.end_written.clear()
         slow.gate.set()
         version = slow.version
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lentilmount.cli.lines import RUNS
+from lentilmount.cli.lines import ATTEMPTS_PROCESS
 from lentilmount.clock import ManualClock, Stamp
 from lentilmount.events import Event, EventKind, EventLog
 from lentilmount.queries.timeline import (
@@ -130,7 +130,7 @@
     processes = {
         e['args']['name'] for e in entries if e['name'] == 'process_name'
     }
-    assert processes >= {'entry-0', 'entry-1', RUNS}
+    assert processes >= {'entry-0', 'entry-1', ATTEMPTS_PROCESS}
     (attempt,) = [e for e in entries if e['name'] == 'Job/desk/trace/0#1']
     worker = site.call('GET', '/v1/jobs/desk/trace')['status']['worker']
     assert names[attempt['pid'], attempt['tid']] == worker
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -223,7 +223,7 @@
             pending = open_pending_start(group, RENEW_WITHOUT_STORE_SECONDS)
             while len(pending.client.ends) < 8:
                 await asyncio.sleep(0.01)
-            pending.session.restart('the end of the test')
+            pending.session.handle_restart('the end of the test')
         last = CLOCK_MS + 1000 * (RENEW_WITHOUT_STORE_SECONDS + LEASE_SECONDS)
         assert max(pending.client.ends) <= last
 
