--- a/tests/test_batch_rows.py
+++ b/tests/test_batch_rows.py
@@ -77,11 +77,11 @@
 
 def test_the_write_limiter_recovers_over_time() -> None:
     clock = ManualClock()
-    pace = WriteLimiter(100.0, 200.0, clock.monotonic)
-    pace.spend(300)
-    assert not pace.is_open
+    limiter = WriteLimiter(100.0, 200.0, clock.monotonic)
+    limiter.spend(300)
+    assert not limiter.is_open
     clock.advance(1.0)
-    assert pace.is_open
+    assert limiter.is_open
 
 
 def test_the_change_log_is_pruned_and_its_oldest_entry_published() -> None:
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -1,7 +1,7 @@
-"""The whole as processes, with several things failing at once.
+"""All daemons and stand-ins as processes, with several faults at once.
 
-What callers and operators are promised is held against what the stand-ins
-recorded, after each scenario.
+After each scenario, the guarantees to callers and operators are checked
+against what the stand-ins recorded.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def play(scenario: Callable[[Play], Awaitable[None]]) -> Play:
-    """Plays a scenario and checks every promise."""
+    """Runs a scenario and checks every guarantee."""
     scene = WSPOLNOTA
     zones = make_zones(
         scene.zones, scene.workers, scene.per_rack, scene.capacity
