--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -9,13 +9,15 @@
 from lentilmount.batch.records import Task
 from lentilmount.batch.states import Transition
 from lentilmount.resources import Phase
-from stand_ins.slices import MemoryLink, MemorySlice
+from stand_ins.slices import MemorySession, MemorySlice
 
 
 class FirstFit:
     """First come, first served, to the first worker with room; no learning."""
 
-    def __init__(self, rows: MemorySlice, sessions: Mapping[str, MemoryLink]):
+    def __init__(
+        self, rows: MemorySlice, sessions: Mapping[str, MemorySession]
+    ):
         self._rows = rows
         self._sessions = sessions
 
@@ -54,7 +56,7 @@
     def __init__(
         self,
         rows: MemorySlice,
-        sessions: Mapping[str, MemoryLink],
+        sessions: Mapping[str, MemorySession],
         base_ms: float,
     ):
         super().__init__(rows, sessions)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -32,7 +32,7 @@
     TeamSpec,
     Urgency,
 )
-from stand_ins.slices import MemoryLink, MemorySlice
+from stand_ins.slices import MemorySession, MemorySlice
 
 WORKERS = 690
 ACCELERATORS = 1000
@@ -97,7 +97,9 @@
             else Room(32.0, 125_000, 0)
             for number in range(workers)
         )
-        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {
+            name: MemorySession(name) for name in self.rows.workers
+        }
         configuration = Configuration()
         configuration.load(
             1,
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -23,7 +23,7 @@
 from lentilmount.configuration import Configuration
 from lentilmount.resources import Kind, Metadata, Phase, Resource
 from lentilmount.upstream.workers import Action
-from stand_ins.slices import MemoryLink, MemorySlice
+from stand_ins.slices import MemorySession, MemorySlice
 
 SECONDS = 1800
 """One period of the services' load."""
@@ -55,7 +55,7 @@
     def __init__(
         self,
         rows: MemorySlice,
-        sessions: dict[str, MemoryLink],
+        sessions: dict[str, MemorySession],
         deployment: Deployment,
         clock: ManualClock,
     ):
@@ -116,7 +116,9 @@
         self.rows.add_workers(
             [deployment.capacity] * deployment.workers, deployment.per_rack
         )
-        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {
+            name: MemorySession(name) for name in self.rows.workers
+        }
         self.fakes = {
             name: FakeWorker(deployment, number, lag, SEED)
             for number, name in enumerate(self.rows.workers)
--- a/stand_ins/slices.py
+++ b/stand_ins/slices.py
@@ -1,4 +1,4 @@
-"""A slice's rows in memory, for driving the policy without a table."""
+"""A slice's rows in memory, to run the policy without a table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 
 @attrs.define
 class MemorySlice:
-    """The `ObservedRows` protocol, with drafts that apply at once."""
+    """An implementation of `ObservedRows` that applies drafts at once.
+
+    Attributes:
+      tasks: Tasks that have not ended, by id.
+      workers: Worker records, by name.
+      observers: Called with each task that a draft changes.
+    """
 
     tasks: dict[str, Task] = attrs.Factory(dict)
     workers: dict[str, WorkerRecord] = attrs.Factory(dict)
@@ -23,7 +29,7 @@
     def add_workers(
         self, capacities: Iterable[Room], per_rack: int = 8, zone: str = 'a'
     ) -> None:
-        """Adds workers, named in order, with so many to a rack."""
+        """Adds a worker per capacity, `per_rack` of them in each rack."""
         for capacity in capacities:
             number = len(self.workers)
             name = f'{zone}-{number:04d}'
@@ -41,7 +47,7 @@
         return Draft(self)
 
     def apply(self, draft: Draft) -> None:
-        """Takes over what a draft changes."""
+        """Applies a draft and calls the observers."""
         self.workers.update(draft.workers)
         for task in draft.tasks.values():
             if task.phase in FINAL_PHASES:
@@ -60,15 +66,15 @@
 
 
 @attrs.define(eq=False)
-class MemoryLink:
-    """The `WorkerLink` protocol: keeps what it was sent.
+class MemorySession:
+    """An implementation of `WorkerLink` that keeps the sent commands.
 
     Attributes:
-      name: The worker.
+      name: Name of the worker.
       reachable: Whether the last call was answered.
-      usage: What the worker last reported.
-      sent: Commands so far.
-      wakes: How often it was woken.
+      usage: Usage that the worker reported last.
+      sent: Commands sent so far.
+      wakes: Number of calls of `wake`.
     """
 
     name: str
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -34,7 +34,7 @@
     Urgency,
 )
 from lentilmount.upstream.workers import Usage
-from stand_ins.slices import MemoryLink, MemorySlice
+from stand_ins.slices import MemorySession, MemorySlice
 
 LIMITS = Limits(settle_seconds=0.0)
 
@@ -46,7 +46,9 @@
         self.clock = ManualClock()
         self.rows = MemorySlice()
         self.rows.add_workers([Room(8.0, 32_000, 0)] * workers)
-        self.sessions = {name: MemoryLink(name) for name in self.rows.workers}
+        self.sessions = {
+            name: MemorySession(name) for name in self.rows.workers
+        }
         configuration = Configuration()
         configuration.load(
             1,
