--- a/stand_ins/fleet.py
+++ b/stand_ins/fleet.py
@@ -1,8 +1,8 @@
 """Workers of the users' platform, as HTTP servers in this process.
 
-They keep the published protocol as far as owners rely on it: the highest
-token, leases on their own clock, lists of what runs and what ended. Work is
-sleeping.
+They implement the parts of the published protocol that owners rely on: the
+highest fencing token, leases on the worker's clock, and the lists of running
+tasks and ended runs. Tasks only sleep.
 """
 
 from __future__ import annotations
@@ -20,59 +20,75 @@
 from stand_ins.rowstore import RowStore
 
 STEP_SECONDS = 0.02
-LONGEST_LEASE_MS = 6000
-LOOK_PATH = '/hold'
+MAX_LEASE_MS = 6000
+POLL_PATH = '/hold'
 START_PATH = '/run-start'
 STOP_PATH = '/run-stop'
 
 
 @attrs.define(eq=False)
 class FleetRun:
-    """A run on a worker."""
+    """One run of a task on a worker.
+
+    Attributes:
+      task: Name of the task.
+      run: Number of the run.
+      ends_at: Monotonic time in seconds at which the work is done.
+      fails: Whether the run ends as failed.
+      is_long_running: Whether the run never ends by itself.
+      percent: CPU share in percent.
+    """
 
     task: str
     run: int
     ends_at: float
     fails: bool
-    lasting: bool
+    is_long_running: bool
     percent: int = 100
 
 
 @attrs.define(eq=False)
 class FleetWorker:
-    """One worker.
+    """One worker, with the faults that a test injects.
 
     Attributes:
       id: Its id.
-      service: The pool it belongs to.
-      run_seconds: How long each task takes.
-      token: The highest token it has seen.
+      service: The service (pool of workers) it belongs to.
+      run_seconds: Duration of each task.
+      token: The highest fencing token received.
+      incarnation: Number of the incarnation; each restart increments it.
       started: Every start that was carried out: task, run, token.
-      fails: Payloads whose tasks fail.
-      lasts: Payloads whose tasks never end.
-      silent: Whether it answers nothing.
+      failing_payloads: Payloads whose tasks fail.
+      long_running_payloads: Payloads whose tasks never end.
+      silent: Whether it answers no call.
       unanswered: Paths of the calls that it does not answer.
-      failing: Paths of the calls that it answers with an error of its own.
-      hears: Whether it carries out at once what it does not answer.
-      late_seconds: After which it carries out what it did not answer; 0 if it
-        never does.
-      asked: Paths of all calls but looks, in order.
+      failing: Paths of the calls that it answers with status 500.
+      applies_unanswered: Whether it carries out unanswered calls at once.
+      late_seconds: Delay after which it carries out an unanswered call; 0 if
+        it never does.
+      calls: Paths of all calls except polls, in order.
+      running: Current run of each task, by the task's name.
+      ended: Run results that no poll has acknowledged: sequence number,
+        task, run, end kind, checkpoint.
+      highest: Highest run that ended or was stopped, by the task's name.
+      lease_until_ms: End of the lease on the worker's clock.
+      sequence: Sequence number of the newest run result.
     """
 
     id: str
     service: str
     run_seconds: float = 0.1
     token: int = 0
-    born: int = 1
+    incarnation: int = 1
     started: list[tuple[str, int, int]] = attrs.Factory(list)
-    fails: set[str] = attrs.Factory(set)
-    lasts: set[str] = attrs.Factory(set)
+    failing_payloads: set[str] = attrs.Factory(set)
+    long_running_payloads: set[str] = attrs.Factory(set)
     silent: bool = False
     unanswered: set[str] = attrs.Factory(set)
     failing: set[str] = attrs.Factory(set)
-    hears: bool = False
+    applies_unanswered: bool = False
     late_seconds: float = 0.0
-    asked: list[str] = attrs.Factory(list)
+    calls: list[str] = attrs.Factory(list)
     running: dict[str, FleetRun] = attrs.Factory(dict)
     ended: list[list[Any]] = attrs.Factory(list)
     highest: dict[str, int] = attrs.Factory(dict)
@@ -81,37 +97,37 @@
 
     @property
     def clock_ms(self) -> int:
-        """Its steady clock."""
+        """The worker's monotonic clock, in milliseconds."""
         return int(time.monotonic() * 1000)
 
     def step(self) -> None:
-        """Ends what is over."""
+        """Ends finished runs, and all runs once the lease has expired."""
         now = time.monotonic()
-        lapsed = self.clock_ms > self.lease_until_ms
+        expired = self.clock_ms > self.lease_until_ms
         for name, run in list(self.running.items()):
-            if lapsed:
+            if expired:
                 self._end(name, 'lapsed')
-            elif now >= run.ends_at and not run.lasting:
+            elif now >= run.ends_at and not run.is_long_running:
                 self._end(name, 'failed' if run.fails else 'done')
 
-    def _end(self, name: str, how: str) -> None:
+    def _end(self, name: str, end_kind: str) -> None:
         run = self.running.pop(name)
         self.sequence += 1
         self.highest[name] = max(self.highest.get(name, 0), run.run)
-        self.ended.append([self.sequence, name, run.run, how, ''])
+        self.ended.append([self.sequence, name, run.run, end_kind, ''])
 
     def renew(self, until_ms: int) -> None:
-        """Takes a longer lease, up to the longest."""
-        most = self.clock_ms + LONGEST_LEASE_MS
-        self.lease_until_ms = max(self.lease_until_ms, min(until_ms, most))
+        """Extends the lease, at most to `MAX_LEASE_MS` from now."""
+        limit = self.clock_ms + MAX_LEASE_MS
+        self.lease_until_ms = max(self.lease_until_ms, min(until_ms, limit))
 
     def start(self, body: dict[str, Any]) -> str:
-        """Starts a run; returns why not, or ''."""
+        """Starts a run; returns the reason of a rejection, else ''."""
         name, run = body['task'], body['run']
-        known = self.running.get(name)
-        if known is not None and known.run == run:
+        current = self.running.get(name)
+        if current is not None and current.run == run:
             return ''
-        if known is not None or run <= self.highest.get(name, 0):
+        if current is not None or run <= self.highest.get(name, 0):
             return 'old'
         if body['deadlineMs'] <= self.clock_ms:
             return 'late'
@@ -122,41 +138,50 @@
             name,
             run,
             time.monotonic() + self.run_seconds,
-            payload in self.fails,
-            payload in self.lasts,
+            payload in self.failing_payloads,
+            payload in self.long_running_payloads,
         )
         return ''
 
     def stop(self, name: str, run: int) -> None:
-        """Stops a run, also one that is not there yet."""
+        """Stops a run; one that has not started yet is refused later."""
         self.highest[name] = max(self.highest.get(name, 0), run)
-        known = self.running.get(name)
-        if known is not None and known.run <= run:
+        current = self.running.get(name)
+        if current is not None and current.run <= run:
             self._end(name, 'stopped')
 
-    def look(self, seen: int) -> dict[str, Any]:
-        """Returns its lists, without the ends that may be forgotten."""
+    def report(self, seen: int) -> dict[str, Any]:
+        """Returns the answer to a poll.
+
+        Args:
+          seen: Sequence number of the newest run result that the owner has;
+            results up to it are dropped.
+        """
         self.ended = [end for end in self.ended if end[0] > seen]
         running = [[r.task, r.run, '', 100, 100] for r in self.running.values()]
-        return {'running': running, 'ended': self.ended, 'born': self.born}
+        return {
+            'running': running,
+            'ended': self.ended,
+            'born': self.incarnation,
+        }
 
     def restart(self) -> None:
-        """Begins a new life under the same id; nothing is left of before."""
-        self.born += 1
+        """Starts a new incarnation under the same id, with no state left."""
+        self.incarnation += 1
         self.running.clear()
         self.ended.clear()
         self.highest.clear()
         self.lease_until_ms = self.sequence = self.token = 0
 
     def describe(self, address: str) -> bytes:
-        """Returns its registration."""
+        """Returns the registration that is written to the store."""
         return orjson.dumps(
             {
                 'service': self.service,
                 'address': address,
                 'zone': 'north',
                 'state': 'ready',
-                'born': self.born,
+                'born': self.incarnation,
                 'capacity': {'cpu': 8000, 'memMb': 16000, 'gpu': 0},
                 'labels': ['a', 'r1'],
                 'sequence': self.sequence,
@@ -165,7 +190,7 @@
 
 
 class _Handler(RequestHandler):
-    """Answers one call."""
+    """Answers one call, or fails as the worker's faults say."""
 
     def initialize(self, worker: FleetWorker) -> None:
         self.worker = worker
@@ -176,33 +201,35 @@
             await asyncio.sleep(60)
         body = orjson.loads(self.request.body)
         if body['fencingToken'] < worker.token:
-            self._tell(409, {'reason': 'fence'})
+            self._respond(409, {'reason': 'fence'})
             return
         worker.token = body['fencingToken']
         worker.step()
         path = self.request.path
-        if path != LOOK_PATH:
-            worker.asked.append(path)
+        if path != POLL_PATH:
+            worker.calls.append(path)
         if path in worker.failing:
-            self._tell(500, {})
+            self._respond(500, {})
             return
         if path in worker.unanswered:
             await self._leave_unanswered(body)
             return
-        status, document = await self._act(body)
-        self._tell(status, document)
+        status, document = await self._carry_out(body)
+        self._respond(status, document)
 
     async def _leave_unanswered(self, body: dict[str, Any]) -> None:
-        """Answers nothing; carries the call out late, if at all."""
-        if self.worker.hears:
-            await self._act(body)
+        """Sends no answer; carries out the call at once, late or never."""
+        if self.worker.applies_unanswered:
+            await self._carry_out(body)
         elif self.worker.late_seconds:
             await asyncio.sleep(self.worker.late_seconds)
             self.worker.step()
-            await self._act(body)
+            await self._carry_out(body)
         await asyncio.sleep(60)
 
-    async def _act(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    async def _carry_out(
+        self, body: dict[str, Any]
+    ) -> tuple[int, dict[str, Any]]:
         worker = self.worker
         if self.request.path == START_PATH:
             reason = worker.start(body)
@@ -214,14 +241,14 @@
             return 200, {}
         if 'deadlineMs' in body:
             worker.renew(body['deadlineMs'])
-        worker.look(body['lastSeen'])
+        worker.report(body['lastSeen'])
         end = time.monotonic() + body.get('waitMs', 0) / 1000
         while not worker.ended and time.monotonic() < end:
             await asyncio.sleep(STEP_SECONDS)
             worker.step()
-        return 200, worker.look(body['lastSeen'])
+        return 200, worker.report(body['lastSeen'])
 
-    def _tell(self, status: int, document: dict[str, Any]) -> None:
+    def _respond(self, status: int, document: dict[str, Any]) -> None:
         self.set_status(status)
         document['clockMs'] = self.worker.clock_ms
         self.finish(orjson.dumps(document))
@@ -239,7 +266,7 @@
         self._addresses: dict[str, str] = {}
 
     def open(self) -> None:
-        """Listens and registers."""
+        """Starts to listen and registers every worker."""
         for worker in self.workers:
             application = Application(
                 [('.*', _Handler, {'worker': worker})],
@@ -264,5 +291,5 @@
             server.stop()
 
     def list_starts(self) -> list[tuple[str, int, int]]:
-        """Lists the starts of all workers."""
+        """Returns the starts of all workers: task, run, token."""
         return [start for worker in self.workers for start in worker.started]
--- a/stand_ins/rowstore.py
+++ b/stand_ins/rowstore.py
@@ -1,4 +1,8 @@
-"""The platform's table service in memory: rows, versions, a feed, faults."""
+"""The users' platform's table service in memory.
+
+It has rows with versions, conditional transactions, a feed of changes, and
+faults that tests inject.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +15,22 @@
 import orjson
 from tornado.web import Application, RequestHandler
 
-HISTORY = 2000
-"""Changes that the feed keeps."""
+MAX_CHANGES = 2000
+"""Maximum number of changes that the feed keeps."""
 
-ANSWER_BYTES = 1_000_000
-"""Most bytes of values in an answer that lists rows."""
+MAX_ANSWER_BYTES = 1_000_000
+"""Maximum size of the encoded values in an answer that lists rows."""
 
 Address = tuple[str, str, str]
 """Table, part and key of a row."""
 
 
 class Fault(enum.Enum):
-    """How the service fails."""
+    """Ways in which the service fails.
+
+    LOST_ANSWER carries out a call and closes the connection unanswered;
+    LOST_SUBMISSION does so for writes to the table of jobs only.
+    """
 
     NONE = 'none'
     REFUSE = 'refuse'
@@ -32,12 +40,12 @@
 
 
 @attrs.define
-class Door:
+class StoreListener:
     """One address of the service, which can fail while others work.
 
     Attributes:
       address: Host and port.
-      fault: How the next calls through it fail.
+      fault: Fault of the calls to this address.
     """
 
     address: str = ''
@@ -46,7 +54,7 @@
 
 @attrs.define
 class Change:
-    """One row as of one version; no value once it is removed."""
+    """One version of a row; the value is None if it was removed."""
 
     address: Address
     version: int
@@ -55,25 +63,25 @@
 
 @attrs.define(eq=False)
 class RowStore:
-    """Rows with one version counter for all.
+    """Rows that share one version counter.
 
     Attributes:
       version: Version of the newest transaction.
       rows: Current rows.
-      changes: The feed's history.
-      forgotten: Newest version that the feed no longer tells of.
-      fault: How the next calls fail.
+      changes: Changes that the feed can still return, oldest first.
+      trimmed_version: Newest version that was dropped from the feed.
+      fault: Fault of the calls to every address.
     """
 
     version: int = 0
     rows: dict[Address, Change] = attrs.Factory(dict)
     changes: list[Change] = attrs.Factory(list)
-    forgotten: int = 0
+    trimmed_version: int = 0
     fault: Fault = Fault.NONE
     _changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def write(self, address: Address, value: bytes | None) -> None:
-        """Writes one row without a condition, as others do."""
+        """Writes one row without a condition, as other programs do."""
         self.version += 1
         self._apply(address, value)
         self._wake()
@@ -83,10 +91,15 @@
         conditions: dict[Address, int],
         writes: dict[Address, bytes | None],
     ) -> dict[Address, int] | None:
-        """Applies all writes if every row has the version expected.
+        """Applies all writes if every row has the expected version.
+
+        Args:
+          conditions: Expected version of each row; 0 for no row.
+          writes: New value of each row; None removes it.
 
         Returns:
-          None if applied, else the current versions of the conditions.
+          None if applied, else the current versions of the rows in
+          `conditions`.
         """
         current = {
             address: self.rows[address].version if address in self.rows else 0
@@ -107,22 +120,22 @@
         else:
             self.rows[address] = change
         self.changes.append(change)
-        if len(self.changes) > HISTORY:
-            self.forgotten = self.changes.pop(0).version
+        if len(self.changes) > MAX_CHANGES:
+            self.trimmed_version = self.changes.pop(0).version
 
     def _wake(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def forget(self) -> None:
-        """Drops the feed's history."""
+    def drop_history(self) -> None:
+        """Drops all changes of the feed, so that followers must rescan."""
         self.changes.clear()
-        self.forgotten = self.version
+        self.trimmed_version = self.version
 
     def scan(
         self, table: str, part: str, start: str, end: str, limit: int
     ) -> list[Change]:
-        """Lists rows of a part in the order of their keys."""
+        """Returns rows of a part, ordered by key; `end` is exclusive."""
         keys = sorted(
             address
             for address in self.rows
@@ -135,8 +148,17 @@
     async def follow(
         self, table: str, after: int, wait: float
     ) -> list[Change] | None:
-        """Waits for changes of a table; None if the history is gone."""
-        if after < self.forgotten:
+        """Waits for changes of a table.
+
+        Args:
+          table: The table's name.
+          after: Version after which changes are returned.
+          wait: Timeout in seconds.
+
+        Returns:
+          The changes, none at the timeout; None if some were dropped.
+        """
+        if after < self.trimmed_version:
             return None
         found = self._list_changes(table, after)
         if not found and wait > 0:
@@ -172,12 +194,12 @@
     return row
 
 
-def _cut(rows: list[Change]) -> list[Change]:
-    """Returns the first rows that fit into one answer."""
+def _limit_bytes(rows: list[Change]) -> list[Change]:
+    """Returns the leading rows that fit into one answer."""
     total = 0
     for number, change in enumerate(rows):
         total += len(base64.b64encode(change.value or b''))
-        if total > ANSWER_BYTES:
+        if total > MAX_ANSWER_BYTES:
             return rows[:number]
     return rows
 
@@ -187,21 +209,21 @@
 
 
 class _RowsHandler(RequestHandler):
-    """Answers one call, or fails as told."""
+    """Answers one call, or fails with the fault that is set."""
 
-    def initialize(self, store: RowStore, door: Door) -> None:
+    def initialize(self, store: RowStore, listener: StoreListener) -> None:
         self.store = store
-        self.door = door
+        self.listener = listener
 
     async def prepare(self) -> None:
-        faults = (self.store.fault, self.door.fault)
+        faults = (self.store.fault, self.listener.fault)
         if Fault.REFUSE in faults:
             self.set_status(503)
             self.finish()
         elif Fault.SILENT in faults:
             await asyncio.sleep(60)
 
-    def tell(
+    def respond(
         self, document: dict[str, Any], status: int = 200, table: str = ''
     ) -> None:
         lost = self.store.fault is Fault.LOST_ANSWER
@@ -230,19 +252,19 @@
         entries = len(conditions) + len(writes)
         parts = {address[1] for address in (*conditions, *writes)}
         if entries > 100 or len(parts) > 1:
-            self.tell({'error': 'too many entries or parts'}, 400)
+            self.respond({'error': 'too many entries or parts'}, 400)
             return
         table = next(iter(writes), ('', '', ''))[0]
         current = self.store.transact(conditions, writes)
         if current is None:
-            self.tell({'ver': self.store.version}, table=table)
+            self.respond({'ver': self.store.version}, table=table)
             return
         rows = [
             _encode(self.store.rows[address])
             for address in current
             if address in self.store.rows
         ]
-        self.tell({'ver': self.store.version, 'rows': rows}, 412, table)
+        self.respond({'ver': self.store.version, 'rows': rows}, 412, table)
 
 
 class _GetHandler(_RowsHandler):
@@ -255,8 +277,8 @@
             self.get_query_argument('to', '', strip=False),
             min(limit, 500),
         )
-        fitting = _cut(rows)
-        self.tell(
+        fitting = _limit_bytes(rows)
+        self.respond(
             {
                 'rows': [_encode(change) for change in fitting],
                 'hasMore': len(rows) == limit or len(fitting) < len(rows),
@@ -273,15 +295,17 @@
             int(self.get_query_argument('waitMs', '0')) / 1000,
         )
         if found is None:
-            self.tell({}, 410)
+            self.respond({}, 410)
             return
         rows = [_encode(change) for change in found]
-        self.tell({'rows': rows, 'ver': self.store.version})
+        self.respond({'rows': rows, 'ver': self.store.version})
 
 
-def make_row_service(store: RowStore, door: Door | None = None) -> Application:
-    """Builds the HTTP face of a store."""
-    arguments = {'store': store, 'door': door or Door()}
+def make_row_service(
+    store: RowStore, listener: StoreListener | None = None
+) -> Application:
+    """Builds the HTTP application of a store."""
+    arguments = {'store': store, 'listener': listener or StoreListener()}
     return Application(
         [
             ('/rows-tx', _TransactHandler, arguments),
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -34,7 +34,7 @@
 from lentilmount.platform.workers import WorkerClient
 from lentilmount.upstream.http import HttpClient
 from stand_ins.fleet import Fleet
-from stand_ins.rowstore import Door, RowStore, make_row_service
+from stand_ins.rowstore import RowStore, StoreListener, make_row_service
 
 SERVICE = 'desk'
 HOST = 'desk.example'
@@ -132,11 +132,11 @@
         factory=lambda: AsyncHTTPClient(force_instance=True)
     )
 
-    def open_store_address(self) -> Door:
+    def open_store_address(self) -> StoreListener:
         """Opens another address of the store, with faults of its own."""
-        door = Door()
-        door.address = serve_store(self.store, self.stack, door)
-        return door
+        listener = StoreListener()
+        listener.address = serve_store(self.store, self.stack, listener)
+        return listener
 
     async def start(
         self, name: str = 'host-1', store: str = '', **fields: Any
@@ -258,10 +258,10 @@
 
 
 def serve_store(
-    store: RowStore, stack: contextlib.AsyncExitStack, door: Door
+    store: RowStore, stack: contextlib.AsyncExitStack, listener: StoreListener
 ) -> str:
     """Serves a stand-in of the table service; returns the address."""
-    return listen(make_row_service(store, door), stack)
+    return listen(make_row_service(store, listener), stack)
 
 
 @contextlib.asynccontextmanager
@@ -272,7 +272,7 @@
     async with contextlib.AsyncExitStack() as stack:
         store = RowStore()
         store.write(('op', '', 'config'), make_configuration(1))
-        address = serve_store(store, stack, Door())
+        address = serve_store(store, stack, StoreListener())
         fleet = Fleet(store, SERVICE, workers)
         fleet.open()
         stack.callback(fleet.close)
@@ -284,7 +284,9 @@
 ) -> tuple[RowStore, HttpClient]:
     """Opens a stand-in of the table service and an HTTP client for it."""
     store = RowStore()
-    http_client = HttpClient(f'http://{serve_store(store, stack, Door())}')
+    http_client = HttpClient(
+        f'http://{serve_store(store, stack, StoreListener())}'
+    )
     stack.callback(http_client.close)
     return store, http_client
 
--- a/tests/test_diagnostic_logs.py
+++ b/tests/test_diagnostic_logs.py
@@ -114,7 +114,7 @@
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.fails.add('bad')
+                worker.failing_payloads.add('bad')
             daemon = await platform.start()
             await platform.submit(daemon, JOB, 'bad')
             await platform.wait_for_state(daemon, JOB, 'failed')
--- a/tests/test_handover_to_larger_host.py
+++ b/tests/test_handover_to_larger_host.py
@@ -172,7 +172,7 @@
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             add_larger_host(platform)
             small = await platform.start('host-1', limits=SMALL)
             await wait_for_line(platform, small, 'Taken: desk.')
--- a/tests/test_inherited_leases.py
+++ b/tests/test_inherited_leases.py
@@ -66,7 +66,7 @@
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             daemons = [
                 await platform.start(f'host-{number}')
                 for number in range(DAEMONS)
--- a/tests/test_job_states.py
+++ b/tests/test_job_states.py
@@ -24,7 +24,7 @@
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
                 worker.unanswered |= {START_PATH, STOP_PATH}
             await platform.submit(daemon, JOB, 'long', longRunning=True)
             await wait_for_line(platform, daemon, 'Starting.')
--- a/tests/test_killed_owners.py
+++ b/tests/test_killed_owners.py
@@ -98,7 +98,7 @@
     async def play() -> tuple[float, int]:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             daemons = [
                 await platform.start(f'host-{number}')
                 for number in range(DAEMONS)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -34,7 +34,7 @@
     async def play() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             small = await platform.start('host-1', limits=SMALL)
             await platform.submit(small, FIRST, 'long', longRunning=True)
             await platform.wait_for_state(small, FIRST, 'running')
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -217,7 +217,7 @@
             await table.transact('t', [Put(KEY, {'n': 1}, ABSENT)])
             changes = await waiting
             assert [row.key for row in changes.rows] == ['row']
-            store.forget()
+            store.drop_history()
             with pytest.raises(HistoryLostError):
                 await table.follow('mine', start, 0.1)
 
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -38,7 +38,7 @@
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.fails.add('bad')
+                worker.failing_payloads.add('bad')
             daemon = await platform.start()
             await platform.submit(daemon, FIRST, 'bad')
             await platform.wait_for_state(daemon, FIRST, 'failed')
@@ -51,7 +51,7 @@
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             daemon = await platform.start()
             await platform.submit(daemon, FIRST, 'long', longRunning=True)
             await platform.wait_for_state(daemon, FIRST, 'running')
@@ -109,7 +109,7 @@
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             first = await platform.start('host-1')
             await platform.submit(first, FIRST, 'long', longRunning=True)
             await platform.wait_for_state(first, FIRST, 'running')
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -85,8 +85,8 @@
 
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
-            door = platform.open_store_address()
-            rejected = await platform.start('host-1', door.address)
+            listener = platform.open_store_address()
+            rejected = await platform.start('host-1', listener.address)
             await wait_for_line(platform, rejected, 'Taken: desk.')
             other = await platform.start('host-2')
 
@@ -94,7 +94,7 @@
                 return bool(rejected.select(message='Knows 2 daemons.'))
 
             await platform.wait_for(knows_peers)
-            door.fault = fault
+            listener.fault = fault
 
             async def is_accepted() -> bool:
                 return (await platform.submit(rejected, FIRST)).code == 200
--- a/tests/test_table_feed.py
+++ b/tests/test_table_feed.py
@@ -14,7 +14,7 @@
 from lentilmount.coordination.table import UnavailableError, scan_all
 from lentilmount.platform.store import Changes, PlatformTable, RawRow
 from lentilmount.upstream.http import HttpClient, HttpResponse
-from stand_ins.rowstore import Door, RowStore
+from stand_ins.rowstore import RowStore, StoreListener
 from tests.helpers import run
 from tests.platform_fixtures import open_table, serve_store
 
@@ -112,7 +112,7 @@
             for number in range(600):
                 row = ('jobs', 'desk', f'{number:04}')
                 store.write(row, b'[0,{"n":"' + b'x' * 600 + b'"}]')
-            address = serve_store(store, stack, Door())
+            address = serve_store(store, stack, StoreListener())
             http_client = _SizeRecordingClient(f'http://{address}')
             stack.callback(http_client.close)
             table = PlatformTable(http_client, CALL_SECONDS)
--- a/tests/test_unanswered_commands.py
+++ b/tests/test_unanswered_commands.py
@@ -120,9 +120,9 @@
         async with open_platform(tmp_path) as platform:
             daemon = await platform.start()
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
                 worker.unanswered |= COMMAND_PATHS
-                worker.hears = True
+                worker.applies_unanswered = True
             await platform.submit(
                 daemon, LONG_RUNNING_JOB, 'long', longRunning=True
             )
@@ -163,7 +163,7 @@
 ) -> FleetWorker:
     """Starts a long-running task; returns the worker that runs it."""
     for worker in platform.fleet.workers:
-        worker.lasts.add('long')
+        worker.long_running_payloads.add('long')
     await platform.submit(daemon, LONG_RUNNING_JOB, 'long', longRunning=True)
 
     async def runs() -> bool:
@@ -213,7 +213,7 @@
                 await platform.submit(daemon, job_id)
             await asyncio.sleep(OBSERVED_SECONDS)
             assert (
-                len(faulty.asked) <= MAX_COMMANDS_PER_SECOND * OBSERVED_SECONDS
+                len(faulty.calls) <= MAX_COMMANDS_PER_SECOND * OBSERVED_SECONDS
             )
 
     run(scenario())
--- a/tests/test_worker_restarts.py
+++ b/tests/test_worker_restarts.py
@@ -28,7 +28,7 @@
     async def scenario() -> None:
         async with open_platform(tmp_path) as platform:
             for worker in platform.fleet.workers:
-                worker.lasts.add('long')
+                worker.long_running_payloads.add('long')
             daemon = await platform.start()
             # Small enough for its tasks to be spread over the workers.
             await platform.submit(
