--- a/stand_ins/raw.py
+++ b/stand_ins/raw.py
@@ -1,8 +1,8 @@
-"""A fast upstream without a framework, for load and for broken answers.
+"""A fast HTTP upstream without a framework, for load and broken answers.
 
-It runs requests in slots, first come first served, and counts what it ran
-and how many connections it had. Run by itself it serves many upstreams:
-`python -m stand_ins.raw FILE`, where FILE holds `RawOptions` as JSON.
+It runs requests in slots, first come, first served, and counts requests and
+connections. `python -m stand_ins.raw FILE` serves many upstreams in one
+process; FILE holds `RawOptions` as JSON.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 LOOPBACK = '127.0.0.1'
 RECORD_PATH = '/_record'
 FAULTS_PATH = '/_faults'
-AGAIN_SECONDS = 0.005
+REPEAT_DELAY_SECONDS = 0.005
 
 
 class Act(enum.Enum):
-    """What becomes of a request."""
+    """How the upstream handles a request."""
 
     ANSWER = 'answer'
     RESET_BEFORE = 'reset before it runs'
@@ -38,16 +38,23 @@
     CUT_BODY_WITHOUT_LENGTH = 'cut in a body that has no length'
     ANSWER_ANOTHER = 'answer another request'
     ANSWER_TWICE = 'answer twice'
-    ANSWER_UNNAMED = 'answer without naming the request'
-    ANSWER_UNNAMED_TWICE = 'answer twice without naming the request'
-    CLOSE_UNTOLD = 'answer, then close without telling'
+    ANSWER_WITHOUT_ID = 'answer without naming the request'
+    ANSWER_WITHOUT_ID_TWICE = 'answer twice without naming the request'
+    CLOSE_UNANNOUNCED = 'answer, then close without telling'
     REFUSE = 'refuse it'
     IGNORE = 'never answer'
 
 
 @attrs.frozen
 class RawRequest:
-    """A request as it was read."""
+    """A parsed request.
+
+    Attributes:
+      method: HTTP method.
+      path: Path with the query.
+      headers: Headers, by lower-case name.
+      body: The whole body.
+    """
 
     method: str
     path: str
@@ -56,20 +63,20 @@
 
     @property
     def id(self) -> str:
-        """Its request id."""
+        """The request id; empty if there is none."""
         return self.headers.get('lentilmount-request', '')
 
 
 @attrs.define
 class RawOptions:
-    """What the upstreams of one process are like.
+    """Options of the upstreams of one process.
 
     Attributes:
-      names: Their names.
-      slots: Requests that each runs at once.
-      mean_ms: Mean time of a request in a slot.
-      spread: Sigma of the log-normal distribution of that time.
-      seed: Seed of the times.
+      names: Names of the upstreams.
+      slots: Maximum number of requests that each runs at once.
+      mean_ms: Mean service time of a request, in milliseconds.
+      spread: Sigma of the log-normal distribution of the service time.
+      seed: Seed of the service times.
     """
 
     names: tuple[str, ...] = ('raw',)
@@ -79,7 +86,7 @@
     seed: int = 1
 
 
-def _always_answer(_: RawRequest) -> Act:
+def _choose_answer(_: RawRequest) -> Act:
     return Act.ANSWER
 
 
@@ -87,20 +94,20 @@
     """One upstream.
 
     Attributes:
-      address: IP number and port.
-      choose_act: Chooses what becomes of a request.
-      factor: Factor on the time of each request.
-      silent: Whether it takes in requests and answers nothing.
-      leaving: Whether its answers say that it is leaving.
-      served: How often each request ran.
-      connections: Connections open now.
-      most_connections: Most that were open at once.
-      accepted: Connections there ever were.
+      address: IP address and port.
+      choose_act: Returns how a request is handled.
+      factor: Factor on the service time of each request.
+      silent: Whether it reads requests without running or answering them.
+      leaving: Whether its answers announce that it is leaving.
+      served: Number of runs of each request, by request id.
+      connections: Open connections.
+      most_connections: Highest number of connections open at once.
+      accepted: Number of connections accepted so far.
     """
 
     def __init__(self, options: RawOptions):
         self.address = ''
-        self.choose_act: Callable[[RawRequest], Act] = _always_answer
+        self.choose_act: Callable[[RawRequest], Act] = _choose_answer
         self.factor = 1.0
         self.silent = False
         self.leaving = False
@@ -117,7 +124,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> RawUpstream:
-        """Starts to listen."""
+        """Starts to listen; port 0 takes a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: RawConnection(self), LOOPBACK, port, backlog=512
@@ -134,14 +141,16 @@
             connection.abort()
 
     def run(self, request: RawRequest, done: Callable[[], None]) -> None:
-        """Runs a request in a slot."""
+        """Runs a request once a slot is free, then calls `done`."""
         if self._free:
             self._free -= 1
-            self._begin(request, done)
+            self._start_request(request, done)
         else:
-            self._waiting.append(lambda: self._begin(request, done))
+            self._waiting.append(lambda: self._start_request(request, done))
 
-    def _begin(self, request: RawRequest, done: Callable[[], None]) -> None:
+    def _start_request(
+        self, request: RawRequest, done: Callable[[], None]
+    ) -> None:
         self.served[request.id] += 1
         spread = self._options.spread
         # The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
@@ -149,11 +158,11 @@
         seconds = self._options.mean_ms / 1000 * share * self.factor
         loop = asyncio.get_running_loop()
         if seconds:
-            loop.call_later(seconds, self._end, done)
+            loop.call_later(seconds, self._end_request, done)
         else:
-            loop.call_soon(self._end, done)
+            loop.call_soon(self._end_request, done)
 
-    def _end(self, done: Callable[[], None]) -> None:
+    def _end_request(self, done: Callable[[], None]) -> None:
         self._free += 1
         if self._waiting:
             self._free -= 1
@@ -161,7 +170,7 @@
         done()
 
     def answer_control(self, request: RawRequest) -> bytes:
-        """Sets switches and tells what was counted."""
+        """Sets the attributes that the body names; returns the counters."""
         if request.path == FAULTS_PATH:
             for name, value in json.loads(request.body).items():
                 setattr(self, name, value)
@@ -184,7 +193,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts the connection."""
+        """Adds the connection to the upstream's counters."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         upstream = self._upstream
@@ -195,7 +204,7 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Counts it out."""
+        """Removes the connection from the open ones."""
         self._upstream.connections.discard(self)
 
     def abort(self) -> None:
@@ -204,7 +213,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Takes in whole requests."""
+        """Handles each request that has been received whole."""
         self._buffer += data
         while b'\r\n\r\n' in self._buffer:
             head, _, rest = self._buffer.partition(b'\r\n\r\n')
@@ -215,9 +224,11 @@
             if len(rest) < length:
                 return
             self._buffer = rest[length:]
-            self._take(RawRequest(method, path, headers, rest[:length]))
+            self._handle_request(
+                RawRequest(method, path, headers, rest[:length])
+            )
 
-    def _take(self, request: RawRequest) -> None:
+    def _handle_request(self, request: RawRequest) -> None:
         upstream = self._upstream
         if request.path in (RECORD_PATH, FAULTS_PATH):
             self._write(request, upstream.answer_control(request))
@@ -234,8 +245,8 @@
 
     def _finish(self, request: RawRequest, act: Act) -> None:
         body = request.method.encode() + b' ' + request.body
-        finish = _FINISHES.get(act, RawConnection._write)
-        finish(self, request, body)
+        respond = _RESPONDERS.get(act, RawConnection._write)
+        respond(self, request, body)
 
     def _write(
         self,
@@ -243,9 +254,11 @@
         body: bytes,
         status: int = 200,
         headers: tuple[str, ...] = (),
-        name: str | None = None,
+        request_id: str | None = None,
     ) -> None:
-        self.send(self.make_head(request, body, status, headers, name) + body)
+        self.send(
+            self.make_head(request, body, status, headers, request_id) + body
+        )
 
     def make_head(
         self,
@@ -253,25 +266,34 @@
         body: bytes,
         status: int = 200,
         headers: tuple[str, ...] = (),
-        name: str | None = None,
+        request_id: str | None = None,
     ) -> bytes:
-        """Builds an answer's head; `name` '' leaves the request unnamed."""
+        """Builds the head of an answer.
+
+        Args:
+          request: The request.
+          body: Body that follows.
+          status: HTTP status.
+          headers: Further header lines.
+          request_id: Request id to answer with; None for the request's own,
+            empty for none.
+        """
         lines = [f'HTTP/1.1 {status} -', f'Content-Length: {len(body)}']
         lines += headers
-        name = request.id if name is None else name
-        if name:
-            lines.append(f'Lentilmount-Request: {name}')
+        request_id = request.id if request_id is None else request_id
+        if request_id:
+            lines.append(f'Lentilmount-Request: {request_id}')
         if self._upstream.leaving:
             lines.append('Lentilmount-Leaving: true')
         return '\r\n'.join([*lines, '', '']).encode('latin-1')
 
     def send(self, data: bytes) -> None:
-        """Writes if the connection is still there."""
+        """Writes data unless the connection is closed or closing."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def close(self) -> None:
-        """Closes after what was written."""
+        """Closes the connection after the pending writes."""
         if self._transport is not None:
             self._transport.close()
 
@@ -280,9 +302,9 @@
     headers: dict[str, str] = {}
     for line in lines:
         name, _, value = line.partition(':')
-        known = headers.get(name.lower())
+        earlier = headers.get(name.lower())
         value = value.strip()
-        headers[name.lower()] = f'{known},{value}' if known else value
+        headers[name.lower()] = f'{earlier},{value}' if earlier else value
     return headers
 
 
@@ -307,20 +329,22 @@
     connection: RawConnection, request: RawRequest, _: bytes
 ) -> None:
     body = b"another's"
-    connection.send(connection.make_head(request, body, name='another') + body)
+    connection.send(
+        connection.make_head(request, body, request_id='another') + body
+    )
 
 
-def _answer_unnamed(
+def _answer_without_id(
     connection: RawConnection, request: RawRequest, body: bytes
 ) -> None:
-    connection.send(connection.make_head(request, body, name='') + body)
+    connection.send(connection.make_head(request, body, request_id='') + body)
 
 
 def _send_twice(connection: RawConnection, answer: bytes) -> None:
     connection.send(answer)
-    # The second one comes when the connection looks idle and sound.
+    # The second answer arrives when the connection is idle and in the pool.
     loop = asyncio.get_running_loop()
-    loop.call_later(AGAIN_SECONDS, connection.send, answer)
+    loop.call_later(REPEAT_DELAY_SECONDS, connection.send, answer)
 
 
 def _answer_twice(
@@ -329,40 +353,40 @@
     _send_twice(connection, connection.make_head(request, body) + body)
 
 
-def _answer_unnamed_twice(
+def _answer_without_id_twice(
     connection: RawConnection, request: RawRequest, body: bytes
 ) -> None:
-    head = connection.make_head(request, body, name='')
+    head = connection.make_head(request, body, request_id='')
     _send_twice(connection, head + body)
 
 
-def _close_untold(
+def _close_unannounced(
     connection: RawConnection, request: RawRequest, body: bytes
 ) -> None:
     connection.send(connection.make_head(request, body) + body)
     connection.close()
 
 
-_FINISHES: dict[Act, Callable[[RawConnection, RawRequest, bytes], None]] = {
+_RESPONDERS: dict[Act, Callable[[RawConnection, RawRequest, bytes], None]] = {
     Act.RESET_AFTER: _reset,
     Act.CUT_BODY: _cut,
     Act.CUT_BODY_WITHOUT_LENGTH: _cut_without_length,
     Act.ANSWER_ANOTHER: _answer_another,
     Act.ANSWER_TWICE: _answer_twice,
-    Act.ANSWER_UNNAMED: _answer_unnamed,
-    Act.ANSWER_UNNAMED_TWICE: _answer_unnamed_twice,
-    Act.CLOSE_UNTOLD: _close_untold,
+    Act.ANSWER_WITHOUT_ID: _answer_without_id,
+    Act.ANSWER_WITHOUT_ID_TWICE: _answer_without_id_twice,
+    Act.CLOSE_UNANNOUNCED: _close_unannounced,
 }
 
 
 def get_capacity(upstreams: int, options: RawOptions) -> float:
-    """Returns the requests a second that full slots can serve."""
+    """Returns the requests per second that all slots can serve."""
     seconds = options.mean_ms / 1000
     return math.inf if not seconds else upstreams * options.slots / seconds
 
 
 async def serve(options: RawOptions) -> None:
-    """Serves every upstream until ended; prints their addresses."""
+    """Prints the addresses of all upstreams and serves until cancelled."""
     addresses = {}
     for number, name in enumerate(options.names):
         upstream = RawUpstream(
@@ -374,7 +398,7 @@
 
 
 def main() -> None:
-    """Reads the options and serves."""
+    """Reads the options file and serves."""
     data = pathlib.Path(sys.argv[1]).read_bytes()
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(serve(decode(data, RawOptions)))
--- a/tests/test_routing_answers.py
+++ b/tests/test_routing_answers.py
@@ -57,7 +57,8 @@
 
 
 @pytest.mark.parametrize(
-    'act', [Act.ANSWER_TWICE, Act.ANSWER_UNNAMED_TWICE, Act.CLOSE_UNTOLD]
+    'act',
+    [Act.ANSWER_TWICE, Act.ANSWER_WITHOUT_ID_TWICE, Act.CLOSE_UNANNOUNCED],
 )
 def test_second_answer_never_reaches_another_caller(act: Act) -> None:
     """Callers see their own answers although every answer comes twice."""
