--- a/stand_ins/checker.py
+++ b/stand_ins/checker.py
@@ -1,7 +1,8 @@
-"""Holds what truly happened against what must always hold.
+"""Checks what happened against the invariants of the scheduler.
 
-It reads the workers' records of runs, kept on one clock outside the system,
-and the history of the table. It knows nothing of how the daemons work.
+The input is the workers' records of runs, kept on one clock outside the
+system, and the write history of the table. The checks do not depend on how
+the daemons work.
 """
 
 from __future__ import annotations
@@ -16,38 +17,43 @@
 from lentilmount.resources import Room
 from stand_ins.attempts import Run
 
-ONE_PLACE = 'no task runs in two places at once'
-ONE_RUN = 'an attempt runs at most once'
-ONCE = 'every job completes exactly once'
-KEPT = 'no accepted job is lost'
-TRUE = 'what is committed as completed did finish'
-ROOM = 'no host is committed beyond what it has'
-FENCED = 'only the holder of a slice writes its rows'
+NO_CONCURRENT_RUNS = 'no task runs in two places at once'
+NO_REPEATED_ATTEMPT = 'an attempt runs at most once'
+COMPLETED_ONCE = 'every job completes exactly once'
+NO_LOST_JOB = 'no accepted job is lost'
+NO_FALSE_COMPLETION = 'what is committed as completed did finish'
+NO_OVERCOMMIT = 'no host is committed beyond what it has'
+NO_STALE_WRITE = 'only the holder of a slice writes its rows'
 
-_OWNED = ('task/', 'worker/', 'done/', 'change/')
+_SLICE_PARTITIONS = ('task/', 'worker/', 'done/', 'change/')
 
 
 @attrs.frozen
 class Violation:
-    """A promise that was broken."""
+    """One violation of an invariant.
 
-    promise: str
+    Attributes:
+      invariant: The invariant, one of the texts of this module.
+      detail: What happened.
+    """
+
+    invariant: str
     detail: str
 
 
 def find_overlaps(runs: Iterable[Run], now: float) -> list[Violation]:
-    """Finds tasks that ran in two places at once."""
+    """Finds tasks with two runs that overlap in time."""
     by_task: dict[str, list[Run]] = collections.defaultdict(list)
     for run in runs:
         by_task[run.task].append(run)
     violations = []
-    for task, some in by_task.items():
-        some.sort(key=lambda run: run.began)
-        for earlier, later in zip(some, some[1:], strict=False):
+    for task, task_runs in by_task.items():
+        task_runs.sort(key=lambda run: run.began)
+        for earlier, later in zip(task_runs, task_runs[1:], strict=False):
             if (earlier.ended or now) > later.began:
                 violations.append(
                     Violation(
-                        ONE_PLACE,
+                        NO_CONCURRENT_RUNS,
                         f'{task}: {earlier} and {later}',
                     )
                 )
@@ -55,19 +61,19 @@
 
 
 def find_overcommits(history: Iterable[dict[str, Any]]) -> list[Violation]:
-    """Finds workers that were committed beyond what they have."""
+    """Finds workers whose commitments exceeded their capacity."""
     violations = []
     for write in history:
         body = write['body']
         if not write['partition'].startswith('worker/') or body is None:
             continue
-        for what in ('cores', 'memory_mb', 'accelerators'):
-            held = sum(d[what] for d in body['commitments'].values())
-            if held > body['capacity'][what] + 1e-6:
+        for resource in ('cores', 'memory_mb', 'accelerators'):
+            held = sum(d[resource] for d in body['commitments'].values())
+            if held > body['capacity'][resource] + 1e-6:
                 violations.append(
                     Violation(
-                        ROOM,
-                        f'{write["sort"]}: {held} {what}',
+                        NO_OVERCOMMIT,
+                        f'{write["sort"]}: {held} {resource}',
                     )
                 )
     return violations
@@ -93,7 +99,7 @@
     counts = count_completions(history)
     return [
         Violation(
-            ONCE,
+            COMPLETED_ONCE,
             f'{job} completed {counts[job]} times',
         )
         for job in jobs
@@ -101,7 +107,7 @@
     ]
 
 
-def find_double_requests(
+def find_repeated_requests(
     served: Iterable[dict[str, int]], non_idempotent: Iterable[str]
 ) -> list[Violation]:
     """Finds non-idempotent requests that ran more than once."""
@@ -124,7 +130,17 @@
     capacities: dict[str, Room],
     now: float,
 ) -> list[Violation]:
-    """Checks all that must hold at any moment, also in the middle."""
+    """Checks the invariants that hold at any time, also while jobs run.
+
+    Args:
+      runs: Runs that the workers recorded.
+      history: Write history of the table.
+      capacities: Capacity of each worker, by name.
+      now: Current time on the clock of the runs.
+
+    Returns:
+      All violations.
+    """
     return [
         *find_overlaps(runs, now),
         *find_repeated_attempts(runs),
@@ -138,10 +154,12 @@
 
 
 def find_repeated_attempts(runs: Iterable[Run]) -> list[Violation]:
-    """Finds attempts that began more than once."""
+    """Finds attempts that were started more than once."""
     counts = collections.Counter((run.task, run.attempt) for run in runs)
     return [
-        Violation(ONE_RUN, f'{task} attempt {attempt} ran {count} times')
+        Violation(
+            NO_REPEATED_ATTEMPT, f'{task} attempt {attempt} ran {count} times'
+        )
         for (task, attempt), count in counts.items()
         if count > 1
     ]
@@ -152,7 +170,7 @@
 ) -> list[Violation]:
     """Finds jobs that were committed as completed more than once."""
     return [
-        Violation(ONCE, f'{job} completed {count} times')
+        Violation(COMPLETED_ONCE, f'{job} completed {count} times')
         for job, count in count_completions(history).items()
         if count > 1
     ]
@@ -161,7 +179,7 @@
 def find_false_completions(
     runs: Iterable[Run], history: Iterable[dict[str, Any]]
 ) -> list[Violation]:
-    """Finds completions of attempts that had not finished by then."""
+    """Finds completions committed before their attempt had finished."""
     finished = {
         (run.task, run.attempt): run.ended
         for run in runs
@@ -176,12 +194,14 @@
         attempt = (task['id'], task['attempt'])
         ended = finished.get(attempt, math.inf)
         if task['phase'] == 'completed' and ended > write['at']:
-            violations.append(Violation(TRUE, f'{attempt} did not finish'))
+            violations.append(
+                Violation(NO_FALSE_COMPLETION, f'{attempt} did not finish')
+            )
     return violations
 
 
 def find_lost_jobs(history: Iterable[dict[str, Any]]) -> list[Violation]:
-    """Finds accepted jobs of which the table knows nothing any more."""
+    """Finds accepted jobs that have no row left and never ended."""
     accepted: set[str] = set()
     ended: set[str] = set()
     rows: dict[str, str] = {}
@@ -197,10 +217,10 @@
         if write['body'] is not None and task:
             rows[row] = task
         if kind == 'done':
-            # Once over, a job may be deleted.
+            # The rows of an ended job may be deleted.
             ended.add(task)
     return [
-        Violation(KEPT, f'{task} is nowhere')
+        Violation(NO_LOST_JOB, f'{task} is nowhere')
         for task in sorted(accepted - ended - set(rows.values()))
     ]
 
@@ -223,38 +243,40 @@
     history: Iterable[dict[str, Any]],
     capacities: dict[str, Room],
 ) -> list[Violation]:
-    """Finds workers on which more ran at once than they have processors."""
+    """Finds workers whose concurrent runs exceeded their cores."""
     demands = {
         write['sort']: write['body']['demand']['cores']
         for write in history
         if write['partition'].startswith('task/')
         and 'demand' in (write['body'] or {})
     }
-    steps: dict[str, list[tuple[float, float, str]]] = collections.defaultdict(
-        list
+    core_changes: dict[str, list[tuple[float, float, str]]] = (
+        collections.defaultdict(list)
     )
     for run in runs:
         cores = demands.get(run.task, 0.0)
-        steps[run.worker].append((run.began, cores, run.task))
+        core_changes[run.worker].append((run.began, cores, run.task))
         if run.ended:
-            steps[run.worker].append((run.ended, -cores, run.task))
+            core_changes[run.worker].append((run.ended, -cores, run.task))
     violations = []
-    for worker, some in steps.items():
+    for worker, worker_changes in core_changes.items():
         held = 0.0
-        for _, cores, task in sorted(some):
+        for _, cores, task in sorted(worker_changes):
             held += cores
             if held > capacities[worker].cores + 1e-6:
                 violations.append(
-                    Violation(ROOM, f'{worker}: {held} cores with {task}')
+                    Violation(
+                        NO_OVERCOMMIT, f'{worker}: {held} cores with {task}'
+                    )
                 )
     return violations
 
 
 def find_stale_writes(history: Iterable[dict[str, Any]]) -> list[Violation]:
-    """Finds rows of a slice that its holder at the time did not write.
+    """Finds writes to a slice's rows that its current holder did not make.
 
     Each transaction on a slice writes the slice's row first, with the epoch
-    of its holder; an epoch below the highest seen is a former holder's.
+    of its holder. An epoch below the highest so far is a former holder's.
     """
     highest: dict[str, int] = {}
     current: dict[str, tuple[str, int]] = {}
@@ -265,13 +287,15 @@
             name, epoch = write['sort'], body['epoch']
             if epoch < highest.get(name, 0):
                 violations.append(
-                    Violation(FENCED, f'{name}: epoch went back to {epoch}')
+                    Violation(
+                        NO_STALE_WRITE, f'{name}: epoch went back to {epoch}'
+                    )
                 )
             highest[name] = max(epoch, highest.get(name, 0))
             current[name] = (write['token'], epoch)
-        # Ended jobs are deleted by operators and by age, not by the holder.
+        # Operators and the retention delete ended jobs, not the holder.
         deleted = partition.startswith('done/') and body is None
-        if deleted or not partition.startswith(_OWNED):
+        if deleted or not partition.startswith(_SLICE_PARTITIONS):
             continue
         name = partition.partition('/')[2]
         token, epoch = current.get(name, ('', 0))
@@ -280,7 +304,8 @@
         ):
             violations.append(
                 Violation(
-                    FENCED, f'{partition}:{write["sort"]} by epoch {epoch}'
+                    NO_STALE_WRITE,
+                    f'{partition}:{write["sort"]} by epoch {epoch}',
                 )
             )
     return violations
--- a/stand_ins/demo.py
+++ b/stand_ins/demo.py
@@ -13,7 +13,7 @@
 from lentilmount.cli.output import write_table
 from stand_ins.checker import Violation, count_completions
 from stand_ins.platform import PlatformOptions, make_zones
-from stand_ins.play import Evidence, Play
+from stand_ins.play import CheckResult, DeploymentRun
 from stand_ins.processes import ADMIN_TOKEN, Deployment
 from stand_ins.scenes import NILEWAVE, WSPOLNOTA
 
@@ -34,25 +34,25 @@
 )
 
 
-async def perform(play: Play) -> None:
-    """Plays a scene: load, jobs, a drained worker, a stopped daemon."""
-    await play.begin()
-    load = asyncio.create_task(play.send_load(LOAD_SECONDS))
+async def run_example(run: DeploymentRun) -> None:
+    """Runs an example: load, jobs, a drained worker, a stopped daemon."""
+    await run.prepare()
+    load = asyncio.create_task(run.send_load(LOAD_SECONDS))
     for number in range(JOBS):
-        await play.submit(number, 8 + number / 4)
+        await run.submit(number, 8 + number / 4)
     await asyncio.sleep(3.0)
-    await drain_one(play)
+    await drain_busy_worker(run)
     await asyncio.sleep(3.0)
-    await play.stop_entry(play.entries[-1])
+    await run.stop_entry(run.entries[-1])
     await load
-    await play.wait_for_jobs()
+    await run.wait_for_jobs()
 
 
-async def drain_one(play: Play) -> None:
+async def drain_busy_worker(run: DeploymentRun) -> None:
     """Drains a worker that runs a job."""
-    team = play.scene.job_team
-    for name in play.jobs:
-        job = await play.call('GET', f'/v1/jobs/{team}/{name}')
+    team = run.example.job_team
+    for name in run.jobs:
+        job = await run.call('GET', f'/v1/jobs/{team}/{name}')
         if job['status']['phase'] == 'running':
             break
     worker = {
@@ -60,48 +60,48 @@
         'metadata': {'name': job['status']['worker']},
         'spec': {'cordoned': True, 'drain': True},
     }
-    await play.call('POST', '/v1/workers', worker)
+    await run.call('POST', '/v1/workers', worker)
 
 
-def make_row(play: Play, evidence: Evidence) -> list[str]:
-    """Builds a deployment's line of the table."""
-    percentile = play.tally.histogram.get_value_at_percentile
-    done = count_completions(evidence.history)
+def make_row(run: DeploymentRun, result: CheckResult) -> list[str]:
+    """Builds a deployment's row of the table."""
+    percentile = run.call_counts.histogram.get_value_at_percentile
+    done = count_completions(result.history)
     events = [
         change['event']
-        for write in evidence.history
+        for write in result.history
         if write['partition'].startswith('change/') and write['body']
         for change in write['body'].get('changes', ())
-        if change['task']['id'] in evidence.ids
+        if change['task']['id'] in result.task_ids
     ]
     return [
-        play.scene.name,
-        play.scene.service,
+        run.example.name,
+        run.example.service,
         f'{percentile(50) / 1000:.1f}',
         f'{percentile(99) / 1000:.1f}',
-        f'{play.scene.target_ms:g}',
-        f'{play.tally.answered}/{len(play.tally.refusals)}',
-        f'{sum(done[i] for i in evidence.ids)}/{len(evidence.ids)}',
+        f'{run.example.target_ms:g}',
+        f'{run.call_counts.answered}/{len(run.call_counts.refusals)}',
+        f'{sum(done[i] for i in result.task_ids)}/{len(result.task_ids)}',
         str(events.count('evicted')),
         str(events.count('resumed')),
-        str(len(evidence.violations)),
+        str(len(result.violations)),
     ]
 
 
-async def play_all(plays: list[Play]) -> int:
-    """Plays every scene at once, prints the table, returns the status."""
-    await asyncio.gather(*(perform(play) for play in plays))
+async def run_examples(runs: list[DeploymentRun]) -> int:
+    """Runs all examples at once, prints the table, returns the exit status."""
+    await asyncio.gather(*(run_example(run) for run in runs))
     rows: list[list[str]] = []
-    broken: list[Violation] = []
-    for play in plays:
-        evidence = await play.check()
-        rows.append(make_row(play, evidence))
-        broken += evidence.violations
+    violations: list[Violation] = []
+    for run in runs:
+        result = await run.check()
+        rows.append(make_row(run, result))
+        violations += result.violations
     write_table(HEADER, rows, sys.stdout)
-    for violation in broken:
-        print(f'BROKEN: {violation.promise}: {violation.detail}')
-    print('Every promise held.' if not broken else 'A promise was broken.')
-    return 1 if broken else 0
+    for violation in violations:
+        print(f'BROKEN: {violation.invariant}: {violation.detail}')
+    print('Every promise held.' if not violations else 'A promise was broken.')
+    return 1 if violations else 0
 
 
 def main() -> int:
@@ -109,22 +109,24 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--keep', action='store_true')
     args = parser.parse_args()
-    plays = []
-    scenes = (NILEWAVE, WSPOLNOTA)
+    runs = []
+    examples = (NILEWAVE, WSPOLNOTA)
     options = [
         PlatformOptions(make_zones(s.zones, s.workers, s.per_rack, s.capacity))
-        for s in scenes
+        for s in examples
     ]
     with Deployment(options[0]) as nile, Deployment(options[1]) as wspolnota:
-        for scene, deployment in zip(scenes, (nile, wspolnota), strict=True):
-            play = Play(scene, deployment)
-            play.start()
-            plays.append(play)
-        status = asyncio.run(play_all(plays))
+        for example, deployment in zip(
+            examples, (nile, wspolnota), strict=True
+        ):
+            run = DeploymentRun(example, deployment)
+            run.start_daemons()
+            runs.append(run)
+        status = asyncio.run(run_examples(runs))
         if args.keep:
             print(f'Token: {ADMIN_TOKEN}. End with Ctrl-C.')
-            for play in plays:
-                print('\n'.join(play.list_addresses()))
+            for run in runs:
+                print('\n'.join(run.list_addresses()))
             wait_for_interrupt()
     return status
 
--- a/stand_ins/play.py
+++ b/stand_ins/play.py
@@ -1,4 +1,4 @@
-"""Plays a deployment of processes: load, jobs, and a check at the end."""
+"""Drives a deployment of processes: load, jobs, and a check at the end."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from stand_ins.checker import (
     Violation,
     check_history,
-    find_double_requests,
+    find_repeated_requests,
     find_wrong_completions,
 )
 from stand_ins.processes import ADMIN_TOKEN, Deployment, Process
-from stand_ins.scenes import Scene
+from stand_ins.scenes import ExampleDeployment
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / 'examples'
 REQUESTS_PER_SECOND = 60.0
@@ -36,15 +36,16 @@
 
 
 @attrs.define
-class Tally:
-    """What the callers of one deployment saw.
+class CallCounts:
+    """Results of the callers' requests to one deployment.
 
     Attributes:
-      histogram: Times of answers and refusals, in microseconds.
-      answered: Requests that were answered.
-      refusals: Why the others were not, one entry for each.
-      wrong: Answers that were not the caller's own, or not whole.
-      non_idempotent: Ids of the requests that may run once at most.
+      histogram: Response times, refusals included, in microseconds.
+      answered: Number of requests that were answered.
+      refusals: Reason of each refused request.
+      wrong_answers: Number of answers that were incomplete or belonged to
+        another request.
+      non_idempotent: Ids of the requests that may run at most once.
       refused_not_run: Ids of the requests that were refused as not run.
     """
 
@@ -53,7 +54,7 @@
     )
     answered: int = 0
     refusals: list[str] = attrs.Factory(list)
-    wrong: int = 0
+    wrong_answers: int = 0
     non_idempotent: list[str] = attrs.Factory(list)
     refused_not_run: list[str] = attrs.Factory(list)
 
@@ -63,9 +64,9 @@
     """A daemon that callers and operators use.
 
     Attributes:
-      process: Its process.
-      callers: A client of its listener for callers.
-      operators: A client of its resource API.
+      process: The daemon's process.
+      callers: Client of its listener for callers.
+      operators: Client of its resource API.
     """
 
     process: Process
@@ -74,53 +75,61 @@
 
 
 @attrs.frozen
-class Evidence:
-    """What the records say.
+class CheckResult:
+    """Result of the check at the end of a run.
 
     Attributes:
-      history: Every write of the table.
-      ids: The tasks of the jobs.
-      violations: Promises that were broken.
+      history: Write history of the table.
+      task_ids: Ids of the jobs' tasks.
+      violations: Violations of the invariants.
     """
 
     history: list[dict[str, Any]]
-    ids: list[str]
+    task_ids: list[str]
     violations: list[Violation]
 
 
-class Play:
-    """Plays one scene."""
+class DeploymentRun:
+    """Load and jobs on one deployment, and the check of its records.
 
-    def __init__(self, scene: Scene, deployment: Deployment):
-        self.scene = scene
+    Attributes:
+      example: The deployment's description.
+      deployment: Its processes.
+      call_counts: Results of the callers' requests.
+      jobs: Names of the submitted jobs.
+      entries: Daemons that callers and operators use.
+    """
+
+    def __init__(self, example: ExampleDeployment, deployment: Deployment):
+        self.example = example
         self.deployment = deployment
-        self.tally = Tally()
+        self.call_counts = CallCounts()
         self.jobs: list[str] = []
-        self._random = random.Random(scene.name)
+        self._random = random.Random(example.name)
         self.entries: list[Entry] = []
 
-    def start(self) -> None:
+    def start_daemons(self) -> None:
         """Starts the daemons."""
-        first, second = self.scene.zones[:2]
+        first, second = self.example.zones[:2]
         for number, zone in enumerate((first, second, first)):
             self.deployment.start_daemon(f'entry-{number}', zone)
 
     def list_addresses(self) -> list[str]:
-        """Returns a line for each daemon, to try by hand."""
+        """Returns a line per daemon with its addresses, to try by hand."""
         return [
-            f'{self.scene.name} {process.name}: {process.addresses}'
+            f'{self.example.name} {process.name}: {process.addresses}'
             for process in self.deployment.daemons.values()
         ]
 
-    async def begin(self) -> None:
-        """Applies the example and waits until its replicas run."""
+    async def prepare(self) -> None:
+        """Applies the example and waits until all replicas run."""
         for process in self.deployment.daemons.values():
             self.add_entry(process)
         await asyncio.to_thread(self._apply_example)
         await self._wait_for_replicas()
 
     def add_entry(self, process: Process) -> None:
-        """Lets callers and operators use a daemon."""
+        """Adds a daemon to those that callers and operators use."""
         callers = f'http://{process.addresses["callers"]}'
         operators = f'http://{process.addresses["operators"]}'
         self.entries.append(
@@ -132,7 +141,11 @@
         )
 
     async def stop_entry(self, entry: Entry) -> None:
-        """Stops a daemon as planned; the balancer notices after a while."""
+        """Stops a daemon gracefully.
+
+        Callers use it for `BALANCER_LAG_SECONDS` more, as they would behind a
+        load balancer that detects the stop late.
+        """
         entry.process.send(signal.SIGTERM)
         await asyncio.sleep(BALANCER_LAG_SECONDS)
         self.entries.remove(entry)
@@ -142,11 +155,11 @@
         status = run_tool(
             [
                 *('--server', f'http://{address}', '--token', ADMIN_TOKEN),
-                *('apply', '-f', str(EXAMPLES / f'{self.scene.name}.json')),
+                *('apply', '-f', str(EXAMPLES / f'{self.example.name}.json')),
             ]
         )
         if status:
-            raise RuntimeError(f'apply ended with {status!r}')
+            raise RuntimeError(f'applying the example failed: {status!r}')
 
     async def call(
         self,
@@ -155,7 +168,11 @@
         value: Any = None,
         entry: Entry | None = None,
     ) -> Any:
-        """Calls the resource API of a daemon; the first if none is named."""
+        """Calls the resource API of a daemon, by default the first.
+
+        Raises:
+          RuntimeError: The answer is an error.
+        """
         body = None if value is None else json.dumps(value).encode()
         answer = await (entry or self.entries[0]).operators.call(
             method, path, body, AUTHORIZATION
@@ -166,26 +183,26 @@
 
     async def _wait_for_replicas(self) -> None:
         until = time.monotonic() + READY_SECONDS
-        path = f'/v1/services/{self.scene.service}'
+        path = f'/v1/services/{self.example.service}'
         while time.monotonic() < until:
             status = (await self.call('GET', path))['status']
-            if status['reason'].startswith(f'{self.scene.workers} of'):
+            if status['reason'].startswith(f'{self.example.workers} of'):
                 return
             await asyncio.sleep(0.2)
         raise RuntimeError(f'{path}: {status["reason"]}')
 
     async def submit(self, number: int, seconds: float) -> None:
-        """Submits a job of so many seconds of work."""
+        """Submits job `run-NUMBER` with this many seconds of work."""
         name = f'run-{number}'
         await self.call(
             'POST',
             '/v1/jobs',
             {
                 'kind': 'Job',
-                'metadata': {'team': self.scene.job_team, 'name': name},
+                'metadata': {'team': self.example.job_team, 'name': name},
                 'spec': {
                     'demand': {'cores': 4, 'memory_mb': 8192},
-                    'job_class': self.scene.job_class,
+                    'job_class': self.example.job_class,
                     'expected_seconds': 10,
                     'urgency': 'urgent' if number == 0 else 'batch',
                     'payload': json.dumps({'seconds': seconds}),
@@ -195,11 +212,15 @@
         self.jobs.append(name)
 
     async def wait_for_jobs(self) -> None:
-        """Waits until every job has completed."""
+        """Waits until every job has completed.
+
+        Raises:
+          RuntimeError: Some did not within `JOBS_SECONDS`.
+        """
         until = time.monotonic() + JOBS_SECONDS
         while time.monotonic() < until:
             page = await self.call(
-                'GET', f'/v1/jobs?team={self.scene.job_team}'
+                'GET', f'/v1/jobs?team={self.example.job_team}'
             )
             phases = [
                 item['status']['phase']
@@ -209,10 +230,12 @@
             if all(phase == 'completed' for phase in phases):
                 return
             await asyncio.sleep(0.2)
-        raise RuntimeError(f'jobs did not complete: {phases}')
+        raise RuntimeError(
+            f'jobs did not complete in {JOBS_SECONDS:g} s; phases: {phases}'
+        )
 
     async def send_load(self, seconds: float) -> None:
-        """Sends requests at a steady rate, whatever becomes of them."""
+        """Sends requests at a fixed mean rate, regardless of the answers."""
         began = time.monotonic()
         calls = []
         due = began
@@ -229,11 +252,11 @@
         request = uuid.uuid4().hex
         idempotent = self._random.random() < 0.8
         if not idempotent:
-            self.tally.non_idempotent.append(request)
+            self.call_counts.non_idempotent.append(request)
         body = self._random.randbytes(20).hex().encode()
         answer = await self._choose_entry().call(
             'POST',
-            f'/call/{self.scene.service}/check',
+            f'/call/{self.example.service}/check',
             body,
             {
                 **AUTHORIZATION,
@@ -241,20 +264,22 @@
                 'Lentilmount-Idempotent': str(idempotent).lower(),
             },
         )
-        millis = (time.monotonic() - due) * 1000
-        self.tally.histogram.record_value(max(1, int(millis * 1000)))
+        elapsed_ms = (time.monotonic() - due) * 1000
+        self.call_counts.histogram.record_value(max(1, int(elapsed_ms * 1000)))
         if answer.status == 200:
-            self.tally.answered += 1
+            self.call_counts.answered += 1
             reply = json.loads(answer.body)
-            whole = reply['echo'].encode() == body
-            self.tally.wrong += not whole or reply['request'] != request
+            is_complete = reply['echo'].encode() == body
+            self.call_counts.wrong_answers += (
+                not is_complete or reply['request'] != request
+            )
             return
-        self.tally.refusals.append(_read_kind(answer.body))
+        self.call_counts.refusals.append(_read_refusal_reason(answer.body))
         if answer.headers.get('Lentilmount-Ran') == 'no':
-            self.tally.refused_not_run.append(request)
+            self.call_counts.refused_not_run.append(request)
 
-    async def check(self) -> Evidence:
-        """Holds the records against the promises."""
+    async def check(self) -> CheckResult:
+        """Checks the records of workers, table and callers."""
         addresses = self.deployment.platform.addresses
         records = [
             await fetch(f'http://{address}', '/_record')
@@ -263,23 +288,23 @@
         stats = await fetch(addresses['table'], '/_stats?history=1')
         runs = [Run(**run) for record in records for run in record['runs']]
         served = [record['served'] for record in records]
-        capacities = {r['name']: self.scene.capacity for r in records}
-        ids = [f'Job/{self.scene.job_team}/{n}/0' for n in self.jobs]
+        capacities = {r['name']: self.example.capacity for r in records}
+        task_ids = [f'Job/{self.example.job_team}/{n}/0' for n in self.jobs]
         history = stats['history']
         violations = [
             *check_history(runs, history, capacities, time.monotonic()),
-            *find_wrong_completions(history, ids),
-            *find_double_requests(served, self.tally.non_idempotent),
+            *find_wrong_completions(history, task_ids),
+            *find_repeated_requests(served, self.call_counts.non_idempotent),
             *self._find_false_refusals(served),
         ]
-        if self.tally.wrong:
+        if self.call_counts.wrong_answers:
             violations.append(
                 Violation(
                     'every caller gets its own whole answer',
-                    f'{self.tally.wrong} wrong answers',
+                    f'{self.call_counts.wrong_answers} wrong answers',
                 )
             )
-        return Evidence(history, ids, violations)
+        return CheckResult(history, task_ids, violations)
 
     def _find_false_refusals(
         self, served: list[dict[str, int]]
@@ -287,12 +312,12 @@
         ran = {request for counts in served for request in counts}
         return [
             Violation('"not run" is true', f'{request} ran')
-            for request in self.tally.refused_not_run
+            for request in self.call_counts.refused_not_run
             if request in ran
         ]
 
 
-def _read_kind(body: bytes) -> str:
+def _read_refusal_reason(body: bytes) -> str:
     try:
         return str(json.loads(body)['detail'])
     except (ValueError, KeyError):
@@ -300,7 +325,7 @@
 
 
 async def fetch(base: str, path: str, value: Any = None) -> Any:
-    """Reads JSON from a stand-in, or sends it some."""
+    """Gets JSON from a stand-in, or posts `value` and returns the answer."""
     body = None if value is None else json.dumps(value).encode()
     method = 'GET' if value is None else 'POST'
     caller = HttpClient(base)
--- a/stand_ins/scenes.py
+++ b/stand_ins/scenes.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief, as the demo plays them."""
+"""The two deployments of the brief, as the demo runs them."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 @attrs.frozen
-class Scene:
+class ExampleDeployment:
     """One deployment of the brief.
 
     Attributes:
-      name: The file of its example.
-      zones: Its availability zones.
-      workers: How many workers it has.
-      per_rack: How many to a rack.
-      capacity: What each has.
+      name: Name of its file in `examples`, without the suffix.
+      zones: Availability zones.
+      workers: Number of workers.
+      per_rack: Number of workers per rack.
+      capacity: Capacity of each worker.
       service: The service, as team/name.
-      target_ms: Its tail target.
-      job_team: The team of its jobs.
-      job_class: The class of its jobs.
+      target_ms: Tail latency target of the service, in milliseconds.
+      job_team: Team of the jobs.
+      job_class: Class of the jobs.
     """
 
     name: str
@@ -34,7 +34,7 @@
     job_class: str
 
 
-NILEWAVE = Scene(
+NILEWAVE = ExampleDeployment(
     'nilewave',
     ('alex-a', 'alex-b', 'cairo-a', 'port-said'),
     34,
@@ -45,7 +45,7 @@
     'nilewave-billing',
     'voyage-billing',
 )
-WSPOLNOTA = Scene(
+WSPOLNOTA = ExampleDeployment(
     'wspolnota',
     ('mazowsze', 'lodz', 'kujawy', 'wielkopolska'),
     24,
--- a/tests/test_batch_mutations.py
+++ b/tests/test_batch_mutations.py
@@ -316,27 +316,43 @@
     'slice version': (
         break_slice_version,
         resume_paused_owner,
-        checker.FENCED,
+        checker.NO_STALE_WRITE,
     ),
-    'versions': (break_all_versions, pause_in_commit, checker.ONCE),
-    'horizon': (break_lease_expiry, isolate_one_worker, checker.ONE_PLACE),
-    'forget': (break_forget, repeat_calls, checker.ONE_RUN),
-    'commitment': (break_commitment, cancel_while_saving, checker.ROOM),
-    'epoch': (break_epoch, isolate_worker_after_takeover, checker.ONE_PLACE),
-    'boot': (break_boot, restart_before_start, checker.ONE_PLACE),
+    'versions': (break_all_versions, pause_in_commit, checker.COMPLETED_ONCE),
+    'horizon': (
+        break_lease_expiry,
+        isolate_one_worker,
+        checker.NO_CONCURRENT_RUNS,
+    ),
+    'forget': (break_forget, repeat_calls, checker.NO_REPEATED_ATTEMPT),
+    'commitment': (
+        break_commitment,
+        cancel_while_saving,
+        checker.NO_OVERCOMMIT,
+    ),
+    'epoch': (
+        break_epoch,
+        isolate_worker_after_takeover,
+        checker.NO_CONCURRENT_RUNS,
+    ),
+    'boot': (break_boot, restart_before_start, checker.NO_CONCURRENT_RUNS),
     'promise': (
         break_offline_renewal,
         isolate_worker_past_promise,
-        checker.ONE_PLACE,
+        checker.NO_CONCURRENT_RUNS,
+    ),
+    'attempt': (
+        break_attempt,
+        finish_while_unreachable,
+        checker.NO_FALSE_COMPLETION,
     ),
-    'attempt': (break_attempt, finish_while_unreachable, checker.TRUE),
     'unknown write': (
         break_unknown_outcome,
         lose_table_while_placing,
-        checker.ONE_PLACE,
+        checker.NO_CONCURRENT_RUNS,
     ),
-    'room': (break_capacity, cancel_while_saving, checker.ROOM),
-    'admission': (break_admission, repeat_calls, checker.KEPT),
+    'room': (break_capacity, cancel_while_saving, checker.NO_OVERCOMMIT),
+    'admission': (break_admission, repeat_calls, checker.NO_LOST_JOB),
 }
 
 
@@ -347,7 +363,7 @@
         async with Cell(clock) as cell:
             await cell.wait_for_owner()
             await scenario(cell)
-            return {v.promise for v in cell.find_violations()}
+            return {v.invariant for v in cell.find_violations()}
 
     return run_virtual(work(), clock)
 
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -1,7 +1,7 @@
-"""The whole as processes, with several things failing at once.
+"""Deployments of processes with several failures at once.
 
-What callers and operators are promised is held against what the stand-ins
-recorded, after each scenario.
+After each scenario the records of the stand-ins are checked against what the
+scheduler guarantees to callers and operators.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from lentilmount.settings import TimeSettings
 from stand_ins.platform import PlatformOptions, make_zones
-from stand_ins.play import Entry, Play, fetch
+from stand_ins.play import DeploymentRun, Entry, fetch
 from stand_ins.processes import Deployment
 from stand_ins.scenes import WSPOLNOTA
 
@@ -32,36 +32,38 @@
 )
 
 
-def play(scenario: Callable[[Play], Awaitable[None]]) -> Play:
-    """Plays a scenario and checks every promise."""
-    scene = WSPOLNOTA
+def run_scenario(
+    scenario: Callable[[DeploymentRun], Awaitable[None]],
+) -> DeploymentRun:
+    """Runs a scenario on a new deployment and checks every guarantee."""
+    example = WSPOLNOTA
     zones = make_zones(
-        scene.zones, scene.workers, scene.per_rack, scene.capacity
+        example.zones, example.workers, example.per_rack, example.capacity
     )
 
-    async def perform() -> Play:
-        whole = Play(scene, deployment)
-        await whole.begin()
-        await scenario(whole)
-        await whole.wait_for_jobs()
-        assert (await whole.check()).violations == []
-        return whole
+    async def run_and_check() -> DeploymentRun:
+        run = DeploymentRun(example, deployment)
+        await run.prepare()
+        await scenario(run)
+        await run.wait_for_jobs()
+        assert (await run.check()).violations == []
+        return run
 
     with Deployment(PlatformOptions(zones), TIMES) as deployment:
-        Play(scene, deployment).start()
-        return asyncio.run(perform())
+        DeploymentRun(example, deployment).start_daemons()
+        return asyncio.run(run_and_check())
 
 
-async def start_daemon(whole: Play, name: str, zone: str) -> None:
-    """Starts a daemon and lets callers use it once it is ready."""
-    process = await asyncio.to_thread(whole.deployment.start_daemon, name, zone)
+async def start_daemon(run: DeploymentRun, name: str, zone: str) -> None:
+    """Starts a daemon and adds it as an entry once it is ready."""
+    process = await asyncio.to_thread(run.deployment.start_daemon, name, zone)
     base = f'http://{process.addresses["operators"]}'
     async with asyncio.timeout(20):
         while 'status' not in (answer := await fetch(base, '/readyz')) or (
             answer['status'] != 'ready'
         ):
             await asyncio.sleep(0.1)
-    whole.add_entry(process)
+    run.add_entry(process)
 
 
 async def set_faults(base: str, **faults: object) -> None:
@@ -69,36 +71,36 @@
 
 
 def test_all_daemons_are_replaced_under_load() -> None:
-    """Requests failed while daemons were replaced in turn."""
+    """Guards against failed requests while daemons are replaced in turn."""
 
-    async def scenario(whole: Play) -> None:
-        load = asyncio.create_task(whole.send_load(12.0))
+    async def scenario(run: DeploymentRun) -> None:
+        load = asyncio.create_task(run.send_load(12.0))
         for number in range(8):
-            await whole.submit(number, 10.0)
-        for number, old in enumerate(list(whole.entries)):
-            zone = whole.scene.zones[number % 2]
-            await start_daemon(whole, f'next-{number}', zone)
-            await whole.stop_entry(old)
+            await run.submit(number, 10.0)
+        for number, old in enumerate(list(run.entries)):
+            zone = run.example.zones[number % 2]
+            await start_daemon(run, f'next-{number}', zone)
+            await run.stop_entry(old)
             assert await asyncio.to_thread(old.process.popen.wait, 30) == 0
         await load
 
-    whole = play(scenario)
-    assert whole.tally.answered > 0
-    assert whole.tally.refusals == []
+    run = run_scenario(scenario)
+    assert run.call_counts.answered > 0
+    assert run.call_counts.refusals == []
 
 
 def test_a_rack_is_lost_while_its_owner_is_paused() -> None:
-    """A paused owner that wakes doubled what a lost rack had run."""
+    """Guards against double runs: a paused owner resumes after a rack loss."""
 
-    async def scenario(whole: Play) -> None:
+    async def scenario(run: DeploymentRun) -> None:
         for number in range(8):
-            await whole.submit(number, 6.0)
+            await run.submit(number, 6.0)
         await asyncio.sleep(2.0)
-        zone = whole.scene.zones[0]
-        owner = await find_owner(whole, f'{zone}/0')
-        whole.entries.remove(owner)
+        zone = run.example.zones[0]
+        owner = await find_owner(run, f'{zone}/0')
+        run.entries.remove(owner)
         owner.process.send(signal.SIGSTOP)
-        workers = whole.deployment.platform.addresses['workers']
+        workers = run.deployment.platform.addresses['workers']
         rack = [
             f'http://{address}'
             for name, address in workers.items()
@@ -113,60 +115,60 @@
         for base in rack:
             await set_faults(base, down=False)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-async def find_owner(whole: Play, slice_name: str) -> Entry:
-    """Returns the entry that owns a slice."""
+async def find_owner(run: DeploymentRun, slice_name: str) -> Entry:
+    """Waits until an entry owns a slice and returns it."""
     async with asyncio.timeout(20):
         while True:
-            for entry in whole.entries:
-                status = await whole.call('GET', '/v1/status', entry=entry)
+            for entry in run.entries:
+                status = await run.call('GET', '/v1/status', entry=entry)
                 if slice_name in status['slices']:
                     return entry
             await asyncio.sleep(0.2)
 
 
 def test_the_table_is_out_and_a_daemon_is_replaced_meanwhile() -> None:
-    """Without the table a new daemon served nobody."""
+    """Guards against a daemon that serves nothing if it starts in an outage."""
 
-    async def scenario(whole: Play) -> None:
+    async def scenario(run: DeploymentRun) -> None:
         for number in range(6):
-            await whole.submit(number, 12.0)
+            await run.submit(number, 12.0)
         await asyncio.sleep(2.0)
-        load = asyncio.create_task(whole.send_load(10.0))
-        table = whole.deployment.platform.addresses['table']
+        load = asyncio.create_task(run.send_load(10.0))
+        table = run.deployment.platform.addresses['table']
         await set_faults(table, down=True)
         await asyncio.sleep(1.0)
-        last = whole.entries.pop()
+        last = run.entries.pop()
         await asyncio.sleep(0.5)
         await asyncio.to_thread(last.process.kill)
-        await start_daemon(whole, 'next', whole.scene.zones[0])
+        await start_daemon(run, 'next', run.example.zones[0])
         await load
         await set_faults(table, down=False)
 
-    whole = play(scenario)
-    assert whole.tally.answered > 0
-    assert whole.tally.refusals == []
+    run = run_scenario(scenario)
+    assert run.call_counts.answered > 0
+    assert run.call_counts.refusals == []
 
 
 def test_a_worker_fails_everything_during_a_wave_of_cancellations() -> None:
-    """Failures of one worker ended jobs."""
+    """Guards against jobs that end because one worker fails every start."""
 
-    async def scenario(whole: Play) -> None:
-        workers = list(whole.deployment.platform.addresses['workers'].values())
+    async def scenario(run: DeploymentRun) -> None:
+        workers = list(run.deployment.platform.addresses['workers'].values())
         broken = f'http://{workers[0]}'
         await set_faults(broken, fail_starts=True)
         for number in range(40):
-            await whole.submit(number, 2.0)
-        cancelled = whole.jobs[20:]
-        del whole.jobs[20:]
-        team = whole.scene.job_team
+            await run.submit(number, 2.0)
+        cancelled = run.jobs[20:]
+        del run.jobs[20:]
+        team = run.example.job_team
         await asyncio.gather(
             *(
-                whole.call('POST', f'/v1/jobs/{team}/{name}/cancel')
+                run.call('POST', f'/v1/jobs/{team}/{name}/cancel')
                 for name in cancelled
             )
         )
 
-    play(scenario)
+    run_scenario(scenario)
