--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, for demos and tests only."""
+"""Stand-ins for the outer platform, for demos, tests and benchmarks only."""
--- a/stand_ins/__main__.py
+++ b/stand_ins/__main__.py
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Reads the options and runs."""
+    """Reads the options and runs the platform."""
     parser = argparse.ArgumentParser(prog='stand_ins', description=__doc__)
     parser.add_argument('file', help='options as JSON, or -')
     args = parser.parse_args()
--- a/stand_ins/attempts.py
+++ b/stand_ins/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on a stand-in worker, and what the worker is like."""
+"""Attempts on a stand-in worker, and the worker's options."""
 
 from __future__ import annotations
 
@@ -12,12 +12,21 @@
 
 TICK_SECONDS = 0.05
 CHECKPOINT_SECONDS = 0.5
-LATENCIES_KEPT = 200
+MAX_LATENCIES = 200
 
 
 @attrs.frozen
 class Run:
-    """When an attempt truly ran, on one clock outside the system."""
+    """When an attempt ran, as recorded outside the system under test.
+
+    Attributes:
+      worker: Name of the worker.
+      task: Id of the task.
+      attempt: Number of the attempt.
+      began: Start, in seconds on one clock for all workers.
+      ended: End on the same clock; 0 if it still runs.
+      state: Value of the attempt's state.
+    """
 
     worker: str
     task: str
@@ -32,20 +41,22 @@
     """An attempt on a worker.
 
     Attributes:
-      command: The start that made it.
-      lease_until: When it ends unless renewed, on the worker's clock.
-      began: When it started.
-      state: How it stands.
-      share: Share of the processors that it may use.
-      done: Seconds of work done, as if running alone.
-      checkpoint: Name of the last whole checkpoint.
-      output: Name of its output.
-      ended: When it ended, or 0.
-      stopping: Whether it was told to stop.
+      command: The start command.
+      lease_until: End of the lease, in seconds on the worker's clock.
+      began: Monotonic time in seconds of the start.
+      state: Current state.
+      share: Share of the demanded processors that it may use.
+      done: Work done, in seconds of running alone and unthrottled.
+      checkpoint: Object name of the last complete checkpoint.
+      output: Object name of the output.
+      message: Reason of a failure.
+      ended: Monotonic time in seconds of the end; 0 while it runs.
+      stopping: Whether a stop command was received.
       loading: Whether it waits for the checkpoint that it resumes from.
-      saving: Whether it is done and writes its output.
-      in_use: Slots in use.
-      latencies: Recent times of answers, in milliseconds.
+      saving: Whether its work is done and the output is being written.
+      in_use: Number of request slots in use.
+      latencies: Recent response times, in milliseconds.
+      work: The decoded payload of the task.
     """
 
     command: Command
@@ -63,30 +74,31 @@
     saving: bool = False
     in_use: int = 0
     latencies: collections.deque[float] = attrs.Factory(
-        lambda: collections.deque(maxlen=LATENCIES_KEPT)
+        lambda: collections.deque(maxlen=MAX_LATENCIES)
     )
     work: dict[str, Any] = attrs.Factory(dict)
 
     @property
     def is_service(self) -> bool:
-        """Whether it serves requests."""
+        """Whether the attempt serves requests."""
         return self.command.task.startswith('Service/')
 
 
 @attrs.define
 class WorkerOptions:
-    """What a stand-in worker is like.
+    """Options of a stand-in worker.
 
     Attributes:
-      name: Its name.
-      zone: Its availability zone.
-      rack: Its rack.
-      capacity: What it has.
-      usage_lag: Seconds by which measurements are late.
-      interference: Factor on (service or job) class by the class beside it.
-      clock_rate: Rate of its clock, as a share of true time.
-      tick_seconds: How often its tasks make progress.
-      checkpoint_seconds: Work done between two checkpoints of a job.
+      name: Name of the worker.
+      zone: Availability zone.
+      rack: Rack.
+      capacity: Capacity of the worker.
+      usage_lag: Seconds by which usage measurements lag.
+      interference: Slowdown factor of a service or job class, by the class
+        that runs on the same worker.
+      clock_rate: Rate of the worker's clock relative to real time.
+      tick_seconds: Period of the task updates.
+      checkpoint_seconds: Seconds of work between two checkpoints of a job.
     """
 
     name: str
--- a/stand_ins/cell.py
+++ b/stand_ins/cell.py
@@ -1,4 +1,4 @@
-"""A zone in one process on virtual time: real slice managers, fake platform."""
+"""A zone on virtual time: real slice managers on an in-memory platform."""
 
 from __future__ import annotations
 
@@ -36,22 +36,23 @@
 ZONE = 'a'
 SLICE = f'{ZONE}/0'
 TEAM = 'crew'
-BEAT_SECONDS = 0.5
-SILENCE_SECONDS = 2.0
+HEARTBEAT_SECONDS = 0.5
+PEER_TIMEOUT_SECONDS = 2.0
 
 
 @attrs.define
 class CellOptions:
-    """What a cell is like.
+    """Options of a cell.
 
     Attributes:
-      workers: How many workers, two to a rack.
-      daemons: How many daemons.
-      capacity: What each worker has.
-      sessions: Times of the leases of tasks.
-      slice_lease: Seconds that a slice is held without renewal.
-      clock_rates: Rates of the workers' clocks; the last one repeats.
-      tick_seconds: How often tasks make progress.
+      workers: Number of workers, two per rack.
+      daemons: Number of daemons.
+      capacity: Capacity of each worker.
+      sessions: Options of the worker sessions, such as lease durations.
+      slice_lease: Duration of a slice's lease, in seconds.
+      clock_rates: Rates of the workers' clocks relative to real time; the
+        last one holds for all further workers.
+      tick_seconds: Period of the workers' task updates.
     """
 
     workers: int = 3
@@ -64,12 +65,17 @@
 
 
 class CellDaemon:
-    """One daemon's batch part.
+    """The batch part of one daemon.
 
     Attributes:
-      table: How it reaches the table.
-      workers: How it reaches the workers.
-      manager: Its slice manager.
+      name: Name of the daemon.
+      gate: Event that is cleared while the daemon is paused.
+      table: The table as this daemon reaches it.
+      workers: The workers as this daemon reaches them.
+      events: Event log of the daemon.
+      membership: The daemon's view of the other daemons.
+      manager: The slice manager.
+      task: The running slice manager.
     """
 
     def __init__(self, cell: Cell, name: str, seed: int):
@@ -81,7 +87,9 @@
         self.workers = WorkersView(cell.workers, self.gate, seed)
         self.events = EventLog(name, clock)
         self.membership = Membership(
-            Member(name, ZONE, name, seed), SILENCE_SECONDS, clock.monotonic
+            Member(name, ZONE, name, seed),
+            PEER_TIMEOUT_SECONDS,
+            clock.monotonic,
         )
         self.manager = SliceManager(
             self.table,
@@ -100,31 +108,46 @@
 
     @property
     def owner(self) -> Owner | None:
-        """The slice's owner here, if it believes to be it."""
+        """The slice's owner object, if this daemon believes to hold the slice.
+
+        A paused or disconnected daemon may keep it past the lease's end.
+        """
         return self.manager.owners.get(SLICE)
 
     @property
     def is_up(self) -> bool:
-        """Whether others hear of it."""
+        """Whether the daemon runs and exchanges heartbeats."""
         return self.gate.is_set() and not self.task.done()
 
     async def kill(self) -> None:
-        """Ends it at once; nothing is released."""
+        """Ends the daemon at once, without releasing its slice."""
         self.task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self.task
 
     def pause(self) -> None:
-        """Stops it as a stopped process would be."""
+        """Pauses the daemon, like a stopped process."""
         self.gate.clear()
 
     def wake(self) -> None:
-        """Lets it go on with what it had in hand."""
+        """Resumes the daemon, with the calls that were in progress."""
         self.gate.set()
 
 
 class Cell:
-    """A table, an object store, workers and daemons."""
+    """A table, an object store, workers and daemons on one manual clock.
+
+    Attributes:
+      clock: The clock of everything in the cell.
+      options: The cell's options.
+      table: The table that all daemons share.
+      objects: The object store of the workers.
+      workers: The workers.
+      hosts: Host list entries of the workers.
+      daemons: All daemons started so far.
+      accepted: Ids of the accepted jobs' tasks, in order.
+      cancelled: Ids of the tasks whose cancellation was accepted.
+    """
 
     def __init__(self, clock: ManualClock, options: CellOptions | None = None):
         self.clock = clock
@@ -141,7 +164,7 @@
         self.daemons: list[CellDaemon] = []
         self.accepted: list[str] = []
         self.cancelled: set[str] = set()
-        self._seeds = 0
+        self._daemon_count = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     def _make_worker(self, number: int) -> Worker:
@@ -162,45 +185,51 @@
             self._tasks.append(asyncio.create_task(worker.run()))
         for _ in range(self.options.daemons):
             self.add_daemon()
-        self._tasks.append(asyncio.create_task(self._beat()))
+        self._tasks.append(asyncio.create_task(self._exchange_heartbeats()))
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Ends everything."""
+        """Ends all daemons and workers."""
         for daemon in self.daemons:
             await daemon.kill()
         for task in self._tasks:
             task.cancel()
 
     def add_daemon(self) -> CellDaemon:
-        """Starts another daemon."""
-        self._seeds += 1
-        daemon = CellDaemon(self, f'entry-{self._seeds}', self._seeds)
+        """Starts one more daemon."""
+        self._daemon_count += 1
+        daemon = CellDaemon(
+            self, f'entry-{self._daemon_count}', self._daemon_count
+        )
         self.daemons.append(daemon)
         return daemon
 
-    async def _beat(self) -> None:
+    async def _exchange_heartbeats(self) -> None:
         while True:
             up = [d for d in self.daemons if d.is_up]
             for daemon in up:
-                reaches = not daemon.table.faults.down
-                daemon.membership.set_eligible(reaches)
-            news = [d.membership.advance_beat() for d in up]
+                reaches_table = not daemon.table.faults.down
+                daemon.membership.set_eligible(reaches_table)
+            heartbeats = [d.membership.advance_beat() for d in up]
             for daemon in up:
-                daemon.membership.observe(news)
-            await asyncio.sleep(BEAT_SECONDS)
+                daemon.membership.observe(heartbeats)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def find_owner(self) -> CellDaemon | None:
-        """Returns the daemon that holds the slice, if one believes so."""
+        """Returns the newest running daemon with an owner of the slice."""
         owners = [d for d in self.daemons if d.is_up and d.owner]
         return owners[-1] if owners else None
 
     def find_worker(self, name: str) -> Worker:
-        """Returns a worker by its name."""
+        """Returns the worker of a name."""
         return next(w for w in self.workers if w.options.name == name)
 
     async def wait_for_owner(self, other_than: str = '') -> CellDaemon:
-        """Waits until a daemon owns the slice and reaches a worker."""
+        """Waits until a daemon owns the slice and reaches a worker.
+
+        Args:
+          other_than: Name of a daemon that does not count.
+        """
         while True:
             daemon = self.find_owner()
             if daemon and daemon.owner and daemon.name != other_than:
@@ -216,7 +245,7 @@
         cores: float = 1.0,
         urgency: Urgency = Urgency.BATCH,
     ) -> str:
-        """Accepts a job, as a command of an operator does."""
+        """Submits a job as the operators' API does; returns its task's id."""
         task = Task(
             f'Job/{TEAM}/{name}/0',
             Demand(cores, 1000),
@@ -235,7 +264,7 @@
         return task.id
 
     async def cancel(self, task: str) -> None:
-        """Accepts a cancellation."""
+        """Submits the cancellation of a task."""
         self.cancelled.add(task)
         request = Request(RequestKind.CANCEL, task)
         order = f'2-{len(self.cancelled):06d}-{task}'
@@ -244,15 +273,15 @@
         )
 
     def list_runs(self) -> list[Run]:
-        """Returns what truly ran."""
+        """Returns the runs that all workers recorded."""
         return [run for worker in self.workers for run in worker.list_runs()]
 
     def list_history(self) -> list[dict[str, Any]]:
-        """Returns every write of the table."""
+        """Returns the write history of the table."""
         return self.table.list_history()
 
     def find_violations(self) -> list[Violation]:
-        """Holds what happened so far against what must always hold."""
+        """Returns the violations of the invariants up to now."""
         for worker in self.workers:
             if not worker.paused:
                 worker.tick()
@@ -262,7 +291,7 @@
         )
 
     def list_done(self) -> list[str]:
-        """Returns the tasks that are over."""
+        """Returns the ids of the tasks that have ended."""
         return [
             write.key.sort
             for write in self.table.history
@@ -270,7 +299,11 @@
         ]
 
     async def finish(self, seconds: float = 600.0) -> bool:
-        """Waits until every job is over; False if it takes too long."""
+        """Waits until every job has ended.
+
+        Returns:
+          Whether they ended within the timeout of `seconds`.
+        """
         end = self.clock.now + seconds
         while set(self.list_done()) != set(self.accepted):
             if self.clock.now > end:
--- a/stand_ins/faults.py
+++ b/stand_ins/faults.py
@@ -1,4 +1,4 @@
-"""Switches for the faults of the platform, set over HTTP."""
+"""Fault injection for the stand-ins, set over HTTP."""
 
 from __future__ import annotations
 
@@ -14,17 +14,20 @@
 
 @attrs.define
 class Faults:
-    """What is wrong with a stand-in at the moment.
+    """Current faults of one stand-in.
 
     Attributes:
-      down: Cut every connection before anything is done.
-      delay: Seconds that each call takes longer.
-      lose_answers: Cut this many connections after the work is done.
-      lose_requests: Cut this many connections before anything is done.
-      late_writes: Seconds after which a write that was cut off takes effect.
-      fail_starts: A worker fails everything it starts.
-      slowdown: Factor on the time that a worker takes for a request.
-      hold: Jobs on a worker make no progress.
+      down: Whether every connection is closed before the call is handled.
+      delay: Additional seconds before each call is handled.
+      lose_answers: Number of next connections that are closed after the call
+        was handled.
+      lose_requests: Number of next connections that are closed before the
+        call is handled.
+      late_writes: If not 0, writes get no answer, and are applied after this
+        many seconds.
+      fail_starts: Whether every attempt fails on the worker at its start.
+      slowdown: Factor on the service time of the worker's requests.
+      hold: Whether jobs on the worker make no progress.
     """
 
     down: bool = False
@@ -37,24 +40,28 @@
     hold: bool = False
 
     def update(self, values: dict[str, Any]) -> None:
-        """Sets the switches that are named."""
+        """Sets the given faults, by field name.
+
+        Raises:
+          HTTPError: A name is not a field.
+        """
         for name, value in values.items():
             if name not in attrs.asdict(self):
-                raise HTTPError(400, reason=f'no switch {name}')
+                raise HTTPError(400, reason=f'unknown fault {name}')
             setattr(self, name, value)
 
 
 class FaultyHandler(RequestHandler):
-    """A handler that obeys the switches."""
+    """Base of the handlers that apply `Faults` to each call."""
 
     def initialize(self, **parts: Any) -> None:
-        """Keeps the parts of the stand-in."""
+        """Stores the objects that the handler works on."""
         self.parts = parts
         self.faults: Faults = parts['faults']
         self.cut = False
 
     async def prepare(self) -> None:
-        """Applies the faults that come before the work."""
+        """Applies the faults that precede the handling of a call."""
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         if self.faults.down:
@@ -70,7 +77,7 @@
         self.request.connection.stream.close()  # type: ignore[union-attr]
 
     def lose_answer(self) -> bool:
-        """Cuts the connection after the work if so told."""
+        """Returns whether the answer is lost; if so, cuts the connection."""
         if self.faults.lose_answers <= 0:
             return False
         self.faults.lose_answers -= 1
@@ -78,7 +85,7 @@
         return True
 
     def reply(self, value: Any, status: int = 200) -> None:
-        """Answers with JSON."""
+        """Answers with JSON, unless a fault suppresses the answer."""
         if self.cut or self.lose_answer():
             return
         self.set_status(status)
@@ -87,17 +94,17 @@
 
 
 class FaultsHandler(RequestHandler):
-    """Reads and sets the switches."""
+    """Reads and sets the faults of a stand-in."""
 
     def initialize(self, faults: Faults) -> None:
-        """Keeps the switches."""
+        """Stores the faults."""
         self.faults = faults
 
     def get(self) -> None:
-        """Answers with the switches."""
+        """Answers with the current faults."""
         self.finish(attrs.asdict(self.faults))
 
     def post(self) -> None:
-        """Sets the switches that are named in the body."""
+        """Sets the faults that the body names; answers with all faults."""
         self.faults.update(json.loads(self.request.body))
         self.finish(attrs.asdict(self.faults))
--- a/stand_ins/faulty.py
+++ b/stand_ins/faulty.py
@@ -1,4 +1,4 @@
-"""A table in this process whose faults a test sets."""
+"""An in-memory table with faults that a test sets."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     """A `MemoryTable` that fails as the platform's service does.
 
     Attributes:
-      down: Whether nothing is answered.
-      lose_answers: How many of the next writes take effect unanswered.
-      hold_writes: How many of the next writes are kept back unanswered, to
-        take effect when `release` is called.
+      down: Whether every call fails.
+      lose_answers: Number of next writes that are applied but reported as
+        failed.
+      hold_writes: Number of next writes that are reported as failed and
+        applied only when `release` is called.
     """
 
     def __init__(self) -> None:
@@ -27,7 +28,7 @@
         self.down = False
         self.lose_answers = 0
         self.hold_writes = 0
-        self._held: list[tuple[str, list[Operation]]] = []
+        self._delayed_writes: list[tuple[str, list[Operation]]] = []
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
         """See `Table`."""
@@ -46,21 +47,23 @@
         self._check_up()
         if self.hold_writes:
             self.hold_writes -= 1
-            self._held.append((token, operations))
-            raise UnavailableError('the write is late')
+            self._delayed_writes.append((token, operations))
+            raise UnavailableError(
+                'the write is delayed; its outcome is unknown'
+            )
         await super().transact(token, operations)
         if self.lose_answers:
             self.lose_answers -= 1
-            raise UnavailableError('the answer is lost')
+            raise UnavailableError('the answer of the write was lost')
 
     def _check_up(self) -> None:
         if self.down:
-            raise UnavailableError('the table is down')
+            raise UnavailableError('the table service is down')
 
     async def release(self) -> None:
-        """Lets kept-back writes take effect, if they still can."""
-        held, self._held = self._held, []
-        for token, operations in held:
+        """Applies the delayed writes whose conditions still hold."""
+        delayed, self._delayed_writes = self._delayed_writes, []
+        for token, operations in delayed:
             try:
                 await super().transact(token, operations)
             except ConflictError:
--- a/stand_ins/hosts.py
+++ b/stand_ins/hosts.py
@@ -1,4 +1,4 @@
-"""A lagging host list, spoken to as Prometheus HTTP service discovery."""
+"""A lagging host list, served as Prometheus HTTP service discovery."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class HostList:
-    """Every version of the list, so that an old one can be served.
+    """All versions of the host list, so that old ones can be served.
 
     Attributes:
-      lag: Seconds by which the list is behind.
+      lag: Seconds by which the served list lags.
     """
 
     def __init__(self, hosts: Iterable[Host], lag: float = 0.0):
@@ -25,11 +25,11 @@
         self._versions = [(float('-inf'), tuple(hosts))]
 
     def change(self, hosts: Iterable[Host]) -> None:
-        """Makes a new version as of now."""
+        """Adds a version that is valid from now."""
         self._versions.append((time.monotonic(), tuple(hosts)))
 
     def get_newest(self) -> tuple[Host, ...]:
-        """Returns the list without lag."""
+        """Returns the newest list, without lag."""
         return self._versions[-1][1]
 
     def get_served(self) -> tuple[Host, ...]:
@@ -39,19 +39,19 @@
 
 
 class HostsHandler(FaultyHandler):
-    """Serves the list."""
+    """Serves the host list."""
 
     def get(self) -> None:
-        """Answers with one target group for each host."""
+        """Answers with one target group per host."""
         hosts: HostList = self.parts['hosts']
         self.reply([_make_group(host) for host in hosts.get_served()])
 
 
 class HostChangeHandler(FaultyHandler):
-    """Changes the list: lag, a host that is leaving, gone, or new."""
+    """Changes the lag, and marks hosts as leaving, removes or adds them."""
 
     def post(self) -> None:
-        """Applies the changes named in the body."""
+        """Applies the changes in the body."""
         hosts: HostList = self.parts['hosts']
         change = json.loads(self.request.body)
         hosts.lag = change.get('lag', hosts.lag)
--- a/stand_ins/local.py
+++ b/stand_ins/local.py
@@ -1,8 +1,8 @@
 """The platform in this process, with faults, for tests on virtual time.
 
-Each daemon gets its own view of the table and of the workers, so that it can
-be cut off from either while the others are not. Its gate, an event, is
-cleared while the daemon is paused: what it had in hand leaves when it wakes.
+Each daemon has its own view of the table and of the workers, so that it can
+lose either while the other daemons do not. Its gate, an event, is cleared
+while the daemon is paused: calls and answers in progress wait for it.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 
 @attrs.define
 class PathFaults:
-    """What is wrong on the way between a daemon and the platform.
+    """Faults of the network path between a daemon and the platform.
 
     Attributes:
-      down: Nothing gets through.
-      delay: Seconds that each call takes.
-      late: Seconds after which a call that timed out takes effect all the
-        same; 0 if it never does.
-      lose: Share of the calls whose answers are lost after the work.
-      repeat: Share of the calls that arrive a second time, later.
-      repeat_seconds: How much later.
+      down: Whether every call times out.
+      delay: Latency of each call, in seconds.
+      late: Seconds after which a call that timed out still takes effect; 0
+        if it never does.
+      lose: Share of the calls whose answer is lost after they took effect.
+      repeat: Share of the calls that are delivered a second time.
+      repeat_seconds: Delay of the second delivery.
     """
 
     down: bool = False
@@ -57,7 +57,7 @@
 
 
 class TableView:
-    """The `Table` protocol as one daemon reaches it."""
+    """The table as one daemon reaches it, with the faults of its path."""
 
     def __init__(
         self,
@@ -70,11 +70,11 @@
         self._gate = gate
         self._table = table
         self._random = random.Random(seed)
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_calls: set[asyncio.Task[None]] = set()
 
     async def read(self, keys: list[Key]) -> dict[Key, Row]:
         """See `Table`."""
-        await self._travel()
+        await self._reach_table()
         rows = await self._table.read(keys)
         await self._gate.wait()
         return rows
@@ -83,7 +83,7 @@
         self, partition: str, after: str = '', limit: int = 1000
     ) -> list[Row]:
         """See `Table`."""
-        await self._travel()
+        await self._reach_table()
         rows = await self._table.scan(partition, after, limit)
         await self._gate.wait()
         return rows
@@ -91,7 +91,7 @@
     async def transact(self, token: str, operations: list[Operation]) -> None:
         """See `Table`."""
         try:
-            await self._travel()
+            await self._reach_table()
         except UnavailableError:
             if self.faults.late:
                 self._apply_late(token, operations)
@@ -99,17 +99,17 @@
         await self._table.transact(token, operations)
         await self._gate.wait()
         if self._random.random() < self.faults.lose:
-            raise UnavailableError('the answer is lost')
+            raise UnavailableError('the answer of the write was lost')
 
-    async def _travel(self) -> None:
+    async def _reach_table(self) -> None:
         faults = self.faults
         if faults.down or faults.delay > TABLE_TIMEOUT_SECONDS:
             await asyncio.sleep(TABLE_TIMEOUT_SECONDS)
-            raise UnavailableError('no answer')
+            raise UnavailableError('the table did not answer in time')
         await asyncio.sleep(faults.delay)
         await self._gate.wait()
         if self.faults.down:
-            raise UnavailableError('no answer')
+            raise UnavailableError('the table did not answer in time')
 
     def _apply_late(self, token: str, operations: list[Operation]) -> None:
         async def apply() -> None:
@@ -120,15 +120,15 @@
                 return
 
         task = asyncio.create_task(apply())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_calls.add(task)
+        task.add_done_callback(self._late_calls.discard)
 
 
 class WorkersView:
-    """The `Workers` protocol as one daemon reaches it.
+    """The workers as one daemon reaches them; implements `Workers`.
 
     Attributes:
-      faults: What is wrong with each worker's path, by its name.
+      faults: Faults of the path to each worker, by the worker's name.
     """
 
     def __init__(
@@ -138,10 +138,10 @@
         self.faults = {w.options.name: PathFaults() for w in workers}
         self._workers = {w.options.name: w for w in workers}
         self._random = random.Random(seed)
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_calls: set[asyncio.Task[None]] = set()
 
     def set_down(self, down: bool, *names: str) -> None:
-        """Cuts workers off or connects them; all if none is named."""
+        """Disconnects or reconnects the named workers, or all."""
         for name in names or self.faults:
             self.faults[name].down = down
 
@@ -149,42 +149,44 @@
         """See `Workers`."""
         worker, faults = self._workers[address], self.faults[address]
         if faults.late or self._random.random() < faults.repeat:
-            self._repeat(worker, faults.late or faults.repeat_seconds, request)
+            self._deliver_later(
+                worker, faults.late or faults.repeat_seconds, request
+            )
         elif worker.paused:
-            self._repeat(worker, 0.0, request)
+            self._deliver_later(worker, 0.0, request)
         if faults.down or faults.late or worker.paused:
             await asyncio.sleep(WORKER_TIMEOUT_SECONDS)
-            raise WorkerError('no answer')
+            raise WorkerError('the worker did not answer in time')
         await asyncio.sleep(faults.delay)
         await self._gate.wait()
         answer = worker.sync(request)
         await asyncio.sleep(faults.delay)
         await self._gate.wait()
         if self._random.random() < faults.lose:
-            raise WorkerError('the answer is lost')
+            raise WorkerError("the worker's answer was lost")
         return answer
 
-    def _repeat(
+    def _deliver_later(
         self, worker: Worker, seconds: float, request: SyncRequest
     ) -> None:
-        async def arrive() -> None:
+        async def deliver() -> None:
             await asyncio.sleep(seconds)
             while worker.paused:
                 await asyncio.sleep(0.1)
             worker.sync(request)
 
-        task = asyncio.create_task(arrive())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.create_task(deliver())
+        self._late_calls.add(task)
+        task.add_done_callback(self._late_calls.discard)
 
 
 class MemoryObjects:
-    """The `ObjectStore` protocol in memory.
+    """An in-memory implementation of the `ObjectStore` protocol.
 
     Attributes:
-      down: Whether it answers nobody.
-      delay: Seconds that each write takes.
-      objects: What it holds, by name.
+      down: Whether every call fails.
+      delay: Duration of each write, in seconds.
+      objects: Stored objects, by name.
     """
 
     def __init__(self) -> None:
--- a/stand_ins/objects.py
+++ b/stand_ins/objects.py
@@ -1,4 +1,4 @@
-"""An object store in memory, spoken to as S3 REST."""
+"""An object store in memory, served as S3 REST."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class ObjectHandler(FaultyHandler):
-    """Serves put and get of one object."""
+    """Serves PUT and GET of one object."""
 
     def put(self, name: str) -> None:
-        """Writes the object."""
+        """Stores the object."""
         self.parts['objects'][name] = self.request.body
         self.reply('')
 
     def get(self, name: str) -> None:
-        """Reads the object."""
+        """Answers with the object, or with status 404."""
         data = self.parts['objects'].get(name)
         self.set_status(404 if data is None else 200)
         self.finish(data or b'')
 
 
 class ObjectNamesHandler(FaultyHandler):
-    """Lists every name, for checkers."""
+    """Lists the names of all objects, for checkers."""
 
     def get(self) -> None:
-        """Answers with the names."""
+        """Answers with the sorted names."""
         self.finish({'names': sorted(self.parts['objects'])})
 
 
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -1,4 +1,4 @@
-"""The whole platform in one process: table, objects, host list, workers."""
+"""The platform in one process: table, object store, host list, workers."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
     Attributes:
       name: The zone's name.
-      workers: How many.
-      per_rack: How many to a rack.
-      capacity: What each has.
+      workers: Number of workers.
+      per_rack: Number of workers per rack.
+      capacity: Capacity of each worker.
     """
 
     name: str
@@ -50,18 +50,21 @@
 
 @attrs.define
 class PlatformOptions:
-    """What the platform is like.
+    """Options of the platform.
 
     Attributes:
       zones: The availability zones.
-      usage_lag: Seconds by which measurements are late.
-      interference: Factor on a class by the class that runs beside it.
-      host_lag: Seconds by which the host list is late.
-      seed: Seed of every random number.
-      tick_seconds: How often a worker looks at its tasks.
-      endpoints: Where services are served by something else, by worker.
-      objects: Object store of another platform, which its workers then use.
-      checkpoint_seconds: Work done between two checkpoints of a job.
+      usage_lag: Seconds by which usage measurements lag.
+      interference: Slowdown factor of a class, by the class that runs on the
+        same worker.
+      host_lag: Seconds by which the host list lags.
+      seed: Seed of every random number generator.
+      tick_seconds: Period of the workers' task updates.
+      endpoints: Endpoints that serve requests in place of a worker, by the
+        worker's name.
+      objects: URL of another platform's object store for the workers to use;
+        empty for this platform's own.
+      checkpoint_seconds: Seconds of work between two checkpoints of a job.
     """
 
     zones: tuple[ZoneOptions, ...]
@@ -76,12 +79,12 @@
 
 
 class Platform:
-    """Runs the stand-ins until its exit stack closes.
+    """Runs the stand-ins while its context is open.
 
     Attributes:
-      table_address: IP number and port of the table service.
-      objects_address: The same of the object store.
-      hosts_address: The same of the host list.
+      table_address: IP address and port of the table service.
+      objects_address: IP address and port of the object store.
+      hosts_address: IP address and port of the host list.
     """
 
     def __init__(self, options: PlatformOptions):
@@ -156,7 +159,7 @@
         return Host(options.name, address, zone.name, options.rack, False)
 
     def get_addresses(self) -> dict[str, Any]:
-        """Returns every address, for whoever started this process."""
+        """Returns all addresses; workers' ones by the worker's name."""
         return {
             'table': f'http://{self.table_address}',
             'objects': f'http://{self.objects_address}',
@@ -168,7 +171,7 @@
 def make_zones(
     names: Iterable[str], workers: int, per_rack: int, capacity: Room
 ) -> tuple[ZoneOptions, ...]:
-    """Spreads a number of workers evenly over zones."""
+    """Returns zones over which the workers are spread evenly."""
     zones = list(names)
     return tuple(
         ZoneOptions(
@@ -182,7 +185,7 @@
 
 
 async def run_platform(options: PlatformOptions) -> None:
-    """Starts the platform, prints its addresses, and runs until ended."""
+    """Starts the platform, prints its addresses and runs until cancelled."""
     async with Platform(options) as platform:
         print(json.dumps(platform.get_addresses()), flush=True)
         await asyncio.Event().wait()
--- a/stand_ins/processes.py
+++ b/stand_ins/processes.py
@@ -1,4 +1,4 @@
-"""Starts, pauses and ends the processes of a small deployment.
+"""Starts, signals and ends the processes of a small deployment.
 
 For demos, tests and benchmarks only: the product itself starts no process.
 """
@@ -34,7 +34,7 @@
 
 
 def hash_token(token: str) -> str:
-    """Returns the hash that settings hold of a token."""
+    """Returns the hash of a token, as the access settings contain it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -48,9 +48,9 @@
     """One process and the addresses that it printed.
 
     Attributes:
-      name: What it is called in messages.
+      name: Name in messages and of the log file.
       popen: The process.
-      addresses: Where it listens.
+      addresses: Addresses of the listeners, by name.
     """
 
     name: str
@@ -58,19 +58,29 @@
     addresses: dict[str, Any] = attrs.Factory(dict)
 
     def read_addresses(self) -> None:
-        """Waits for the line of JSON that it prints when it listens."""
+        """Reads the line of JSON that the process prints when it listens.
+
+        Raises:
+          RuntimeError: The process ended before.
+        """
         assert self.popen.stdout is not None
         line = self.popen.stdout.readline()
         if not line:
-            raise RuntimeError(f'{self.name} ended before it listened')
+            raise RuntimeError(
+                f'{self.name} exited before it printed its addresses; '
+                'see its log'
+            )
         self.addresses = json.loads(line)
 
     def send(self, number: int) -> None:
-        """Sends it a signal."""
+        """Sends a signal to the process."""
         self.popen.send_signal(number)
 
     def stop(self) -> int:
-        """Asks it to end and waits; returns its exit status."""
+        """Terminates the process and returns its exit status.
+
+        It is killed if it has not ended after `STOP_SECONDS`.
+        """
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -81,7 +91,7 @@
             return self.popen.wait()
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Kills the process if it still runs."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
@@ -91,10 +101,12 @@
     """A platform and its daemons, as processes.
 
     Attributes:
+      options: Options of the platform.
       platform: The platform's process.
       daemons: The daemons' processes, by name.
-      raw: If set, raw upstreams serve in place of the workers.
-      raw_processes: Their processes.
+      raw: Options of raw upstreams that serve requests in place of the
+        workers; None for none.
+      raw_processes: Processes of the raw upstreams.
     """
 
     def __init__(
@@ -141,7 +153,7 @@
             self.raw_processes.append(process)
 
     def __exit__(self, *_: object) -> None:
-        """Ends every process."""
+        """Kills every process."""
         self._stack.close()
 
     def _write(self, name: str, value: Any) -> pathlib.Path:
@@ -162,22 +174,24 @@
         return process
 
     def start(self, name: str, module: str, options: Any) -> Process:
-        """Starts another program with its options in a file."""
+        """Starts a module with its options in a file; waits for its line."""
         process = self._start(name, module, str(self._write(name, options)))
         process.read_addresses()
         return process
 
     def add_workers(self, name: str, options: PlatformOptions) -> None:
-        """Runs more workers, in a process of their own."""
-        core = self.platform.addresses
-        shared = attrs.evolve(options, objects=core['objects'])
+        """Starts a process with more workers and adds them to the host list."""
+        main_addresses = self.platform.addresses
+        shared = attrs.evolve(options, objects=main_addresses['objects'])
         process = self.start(name, 'stand_ins', unstructure(shared))
         with urllib.request.urlopen(
             process.addresses['hosts'] + '/v1/hosts'
         ) as answer:
             groups = json.load(answer)
         change = json.dumps({'add': groups}).encode()
-        urllib.request.urlopen(core['hosts'] + '/_change', change).close()
+        urllib.request.urlopen(
+            main_addresses['hosts'] + '/_change', change
+        ).close()
 
     def start_daemon(
         self,
@@ -189,10 +203,10 @@
         """Starts a daemon and waits until it listens.
 
         Args:
-          name: Its name.
-          zone: Its availability zone.
-          module: What to run, with further arguments.
-          **changes: Settings that differ.
+          name: Name of the daemon.
+          zone: Availability zone of the daemon.
+          module: Module to run, with further arguments.
+          **changes: Settings that differ from the default.
         """
         addresses = self.platform.addresses
         settings = Settings(
@@ -215,9 +229,9 @@
         return process
 
     def get_settings_path(self, name: str) -> pathlib.Path:
-        """Returns the settings file of a daemon."""
+        """Returns the path of a daemon's settings file."""
         return self._folder / f'{name}.json'
 
     def read_log(self, name: str) -> str:
-        """Returns what a process logged."""
+        """Returns the standard error output of a process."""
         return (self._folder / f'{name}.log').read_text('utf-8')
--- a/stand_ins/relay.py
+++ b/stand_ins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can stall or refuse, to cut daemons from each other."""
+"""A TCP relay that can drop traffic, to partition daemons in tests."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 import contextlib
 import enum
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 LOOPBACK = '127.0.0.1'
 
 
 class Flow(enum.Enum):
-    """What happens to the bytes of one direction."""
+    """Treatment of the bytes of one direction."""
 
     PASS = 'pass'
     DROP = 'drop'
 
 
 class Relay:
-    """Passes connections on to a target until told otherwise.
+    """Relays connections to a target.
 
-    Bytes that are dropped are lost for their connection, as on a network
-    that loses every packet of one direction; the ends notice only silence.
+    Dropped bytes are lost for their connection, as on a network that loses
+    every packet of one direction: both ends stay connected and receive
+    nothing.
 
     Attributes:
-      address: IP number and port to use in place of the target's.
-      forward: What happens to bytes towards the target.
-      backward: What happens to bytes from the target.
+      address: IP address and port to use in place of the target's.
+      target: IP address and port of the target.
+      forward: Treatment of bytes towards the target.
+      backward: Treatment of bytes from the target.
     """
 
     def __init__(self, target: str = ''):
@@ -38,13 +40,15 @@
 
     async def __aenter__(self) -> Relay:
         """Starts to listen."""
-        self._server = await asyncio.start_server(self._pass_on, LOOPBACK, 0)
+        self._server = await asyncio.start_server(
+            self._handle_connection, LOOPBACK, 0
+        )
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'{LOOPBACK}:{port}'
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Cuts every connection."""
+        """Closes every connection."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
@@ -54,7 +58,7 @@
         """Sets both directions."""
         self.forward = self.backward = flow
 
-    async def _pass_on(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
@@ -62,12 +66,12 @@
         self._tasks.add(task)
         try:
             with contextlib.suppress(OSError, asyncio.CancelledError):
-                await self._connect(reader, writer)
+                await self._relay_bytes(reader, writer)
         finally:
             self._tasks.discard(task)
             writer.close()
 
-    async def _connect(
+    async def _relay_bytes(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         host, _, port = self.target.rpartition(':')
@@ -93,9 +97,9 @@
         is_forward: bool,
     ) -> None:
         lossy = False
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(CHUNK_BYTES):
             flow = self.forward if is_forward else self.backward
-            # A connection that lost bytes must not go on after them.
+            # After a gap the rest of the byte stream would be corrupt.
             lossy = lossy or flow is Flow.DROP
             if not lossy:
                 writer.write(data)
--- a/stand_ins/serving.py
+++ b/stand_ins/serving.py
@@ -1,4 +1,4 @@
-"""What a stand-in worker serves: its own API, requests, its record."""
+"""HTTP handlers of a stand-in worker: sync API, requests, run record."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class SyncHandler(FaultyHandler):
-    """Serves the worker's own API."""
+    """Serves the sync call of the worker API."""
 
     def post(self) -> None:
-        """Carries out the commands."""
+        """Carries out the commands and answers with the worker's state."""
         worker: Worker = self.parts['worker']
         answer = worker.sync(decode(self.request.body, SyncRequest))
         if self.lose_answer():
@@ -28,10 +28,10 @@
 
 
 class ServeHandler(FaultyHandler):
-    """Serves the requests of callers, as an upstream."""
+    """Serves callers' requests, as an upstream."""
 
     async def respond(self, *_: str) -> None:
-        """Answers with the request's own body and id."""
+        """Answers with the request's body and id."""
         worker: Worker = self.parts['worker']
         name = self.request.headers.get('Lentilmount-Service', '')
         request = self.request.headers.get('Lentilmount-Request', '')
@@ -57,10 +57,10 @@
 
 
 class WorkerRecordHandler(FaultyHandler):
-    """Tells what truly ran, for checkers."""
+    """Reports to checkers what ran on the worker."""
 
     def get(self) -> None:
-        """Answers with the runs and the count of each request."""
+        """Answers with the runs and the number of runs of each request."""
         worker: Worker = self.parts['worker']
         self.finish(
             {
--- a/stand_ins/site.py
+++ b/stand_ins/site.py
@@ -1,4 +1,4 @@
-"""A platform and two daemons in a thread of this process, for several tests."""
+"""A platform and two daemons in a thread of this process, shared by tests."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 T = TypeVar('T')
 
 ZONES = ('alex-a', 'lodz')
-EVERYTHING = ('call', 'read', 'write', 'admin')
+ALL_VERBS = ('call', 'read', 'write', 'admin')
 TOKENS = {
-    'admin': ('*', EVERYTHING),
+    'admin': ('*', ALL_VERBS),
     'desk': ('desk', ('call', 'read', 'write')),
     'rival': ('rival', ('call', 'read', 'write')),
     'reader': ('*', ('read',)),
@@ -48,8 +48,14 @@
 
 
 @attrs.frozen
-class Outcome:
-    """How a run of the tool ended."""
+class ToolResult:
+    """Result of a run of the command-line tool.
+
+    Attributes:
+      status: Exit status.
+      out: Standard output.
+      err: Standard error output.
+    """
 
     status: ExitStatus
     out: str
@@ -60,16 +66,22 @@
     *args: str,
     stdin: str = '',
     variables: dict[str, str] | None = None,
-) -> Outcome:
+) -> ToolResult:
     """Runs the command-line tool in this process."""
     out, err = io.StringIO(), io.StringIO()
     env = Environment(io.StringIO(stdin), out, err, variables or {})
     status = main(list(args), env)
-    return Outcome(status, out.getvalue(), err.getvalue())
+    return ToolResult(status, out.getvalue(), err.getvalue())
 
 
 class Site:
-    """What the tests talk to; the first daemon unless told otherwise."""
+    """A platform and two daemons; calls go to the first daemon by default.
+
+    Attributes:
+      loop: Event loop of the thread.
+      daemons: The daemons.
+      platform: The platform.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -95,7 +107,7 @@
             await self._stop.wait()
 
     def make_settings(self, name: str, zone: str, **changes: Any) -> Settings:
-        """Builds the settings of one more daemon."""
+        """Builds the settings of another daemon, with `changes` applied."""
         addresses = self.platform.get_addresses()
         settings = Settings(
             name=name,
@@ -114,22 +126,22 @@
         return attrs.evolve(settings, **changes)
 
     def __enter__(self) -> Site:
-        """Starts the thread, and waits until all listen."""
+        """Starts the thread and waits until all daemons listen."""
         self._thread.start()
         assert self._ready.wait(20)
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stops everything."""
+        """Stops the daemons, the platform and the thread."""
         self.loop.call_soon_threadsafe(self._stop.set)
         self._thread.join(20)
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Runs a coroutine on the loop of the daemons."""
+        """Runs a coroutine on the daemons' loop and returns its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
 
     def base(self, listener: str = 'operators', daemon: int = 0) -> str:
-        """Returns scheme, host and port of a listener."""
+        """Returns the base URL of a daemon's listener."""
         return f'http://{self.daemons[daemon].addresses[listener]}'
 
     def send(
@@ -141,7 +153,7 @@
         listener: str = 'operators',
         **headers: str,
     ) -> HttpResponse:
-        """Sends a request; header names are given with underscores."""
+        """Sends a request; underscores in header names stand for hyphens."""
 
         async def call() -> HttpResponse:
             caller = HttpClient(self.base(listener), 20.0)
@@ -161,19 +173,19 @@
         return self.run(call())
 
     def call(self, method: str, path: str, value: Any = None, **kw: Any) -> Any:
-        """Sends JSON, and returns the JSON of the answer; see `send`."""
+        """Sends JSON and returns the JSON of the answer; see `send`."""
         body = None if value is None else json.dumps(value).encode()
         answer = self.send(method, path, body, **kw)
         return json.loads(answer.body)
 
     def hold_jobs(self, hold: bool) -> None:
-        """Lets the workers' jobs make no progress, or go on."""
+        """Holds or resumes the progress of the workers' jobs."""
         for worker in self.platform.workers:
             worker.faults.hold = hold
 
     def tool(
         self, *args: str, token: str = 'admin', stdin: str = ''
-    ) -> Outcome:
+    ) -> ToolResult:
         """Runs the command-line tool against the first daemon."""
         return run_tool(
             *('--server', self.base(), '--token', token), *args, stdin=stdin
@@ -182,14 +194,14 @@
 
 @contextlib.contextmanager
 def open_site() -> Iterator[Site]:
-    """Opens a site with two teams and a service."""
+    """Opens a site with two teams, a service and a configuration."""
     with Site() as site:
-        site.tool('apply', '-f', '-', stdin=json.dumps(DECLARED))
+        site.tool('apply', '-f', '-', stdin=json.dumps(INITIAL_RESOURCES))
         yield site
 
 
 def make_job(name: str, team: str = 'desk', **spec: Any) -> dict[str, Any]:
-    """Builds a small job."""
+    """Builds the document of a small job."""
     demand = {'cores': 1, 'memory_mb': 64}
     return {
         'kind': 'Job',
@@ -203,7 +215,7 @@
 
 
 def make_service(name: str, team: str, **spec: Any) -> dict[str, Any]:
-    """Builds a small service."""
+    """Builds the document of a small service."""
     return {
         'kind': 'Service',
         'metadata': {'team': team, 'name': name},
@@ -215,7 +227,7 @@
     }
 
 
-DECLARED = [
+INITIAL_RESOURCES = [
     {'kind': 'Configuration', 'metadata': {'name': 'default'}},
     {'kind': 'Team', 'metadata': {'name': 'desk'}},
     {'kind': 'Team', 'metadata': {'name': 'rival'}},
--- a/stand_ins/table.py
+++ b/stand_ins/table.py
@@ -1,4 +1,4 @@
-"""A transactional table in memory, spoken to as DynamoDB JSON."""
+"""A transactional table in memory, served as DynamoDB JSON."""
 
 from __future__ import annotations
 
@@ -26,12 +26,20 @@
 from lentilmount.upstream.table import make_item, parse_item
 from stand_ins.faults import FAULTS_PATH, Faults, FaultsHandler, FaultyHandler
 
-HISTORY_SIZE = 200_000
+MAX_HISTORY = 200_000
 
 
 @attrs.frozen
 class Write:
-    """One write, for checkers: when, which row, and what was in it."""
+    """One entry of the write history, for checkers.
+
+    Attributes:
+      at: Monotonic time in seconds.
+      key: Key of the row.
+      version: The row's new version.
+      token: Token of the transaction.
+      body: The row's new content; None if it was deleted.
+    """
 
     at: float
     key: Key
@@ -41,20 +49,20 @@
 
 
 class MemoryTable:
-    """The `Table` protocol, in this process.
+    """An in-memory implementation of the `Table` protocol.
 
     Attributes:
-      history: Every write in order.
-      reads: Rows read so far.
-      writes: Rows written so far.
-      calls: Calls by name.
+      history: The last `MAX_HISTORY` writes, oldest first.
+      reads: Number of rows read.
+      writes: Number of rows written.
+      calls: Number of calls, by method name.
     """
 
     def __init__(self, monotonic: Callable[[], float] = time.monotonic) -> None:
         self._monotonic = monotonic
         self._rows: SortedDict = SortedDict()
         self.history: collections.deque[Write] = collections.deque(
-            maxlen=HISTORY_SIZE
+            maxlen=MAX_HISTORY
         )
         self.reads = 0
         self.writes = 0
@@ -92,7 +100,7 @@
             self._apply(token, operation)
 
     def list_history(self) -> list[dict[str, Any]]:
-        """Returns every write as plain values, as checkers read them."""
+        """Returns the write history as JSON values, for checkers."""
         return [
             {
                 'at': write.at,
@@ -139,10 +147,10 @@
 
 
 class TableHandler(FaultyHandler):
-    """Serves the three calls that lentilmount makes."""
+    """Serves the three DynamoDB operations that lentilmount uses."""
 
     async def post(self) -> None:
-        """Dispatches on the target header."""
+        """Dispatches on the operation in the target header."""
         name = self.request.headers['X-Amz-Target'].partition('.')[2]
         request = json.loads(self.request.body)
         table: MemoryTable = self.parts['table']
@@ -216,10 +224,10 @@
 
 
 class TableStatsHandler(FaultyHandler):
-    """Tells what the table has done, for benchmarks and checkers."""
+    """Reports the table's counters and history to benchmarks and checkers."""
 
     def get(self) -> None:
-        """Answers with counts, and with the history if asked."""
+        """Answers with the counters, and with the history on request."""
         table: MemoryTable = self.parts['table']
         answer: dict[str, Any] = {
             'reads': table.reads,
--- a/stand_ins/virtual_time.py
+++ b/stand_ins/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose time jumps to the next timer instead of passing.
+"""An event loop on virtual time, which jumps to the next timer.
 
-The real code runs on it unchanged, with its own sleeps and timeouts; ten
-minutes take as long as what happens in them, and each run is the same.
+The product's code runs on it unchanged, with its own sleeps and timeouts. No
+real time passes in sleeps, and each run is the same.
 """
 
 from __future__ import annotations
@@ -24,16 +24,20 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Moves the clock on by what it was told to wait."""
+        """Advances the clock by the timeout instead of waiting.
+
+        Raises:
+          RuntimeError: There is no timer, so the loop would wait for ever.
+        """
         if timeout is None:
-            raise RuntimeError('nothing will ever happen again')
+            raise RuntimeError('deadlock: no callback and no timer is pending')
         if timeout > 0:
             self._clock.advance(timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on a manual clock; it does no input or output."""
+    """An event loop on a manual clock, without input and output."""
 
     def __init__(self, clock: ManualClock):
         super().__init__(_JumpingSelector(clock))
@@ -45,6 +49,6 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, T], clock: ManualClock) -> T:
-    """Runs a coroutine to its end in virtual time."""
+    """Runs a coroutine in virtual time and returns its result."""
     with asyncio.Runner(loop_factory=lambda: VirtualLoop(clock)) as runner:
         return runner.run(work)
--- a/stand_ins/worker.py
+++ b/stand_ins/worker.py
@@ -1,8 +1,9 @@
-"""A worker that runs tasks under leases, in memory.
+"""An in-memory worker that runs tasks under leases.
 
-It holds many workers in one process. Work is sleeping: a service answers
+Many of them fit into one process, since tasks only sleep: a service answers
 after a time drawn from a log-normal distribution, a job counts progress up
-to its length. Tasks that share a worker slow each other down by a table.
+to its length. Tasks on the same worker slow each other down by the factors
+of an interference table.
 """
 
 from __future__ import annotations
@@ -36,11 +37,23 @@
 
 OBJECT_RETRY_SECONDS = 1.0
 SERVICE_SPREAD = 0.25
-"""Sigma of the log-normal distribution of a service's times."""
+"""Sigma of the log-normal distribution of a service's response time."""
 
 
 class Worker:
-    """One worker: attempts, leases, measurements, and a record of runs."""
+    """One worker: attempts, leases, measurements, and a record of runs.
+
+    Attributes:
+      options: The worker's options.
+      paused: Whether the worker's process is paused.
+      faults: Faults that tests inject.
+      leaving: Whether the worker announces that it is leaving.
+      endpoint: Address at which its services answer.
+      runs: Runs that have ended.
+      served: Number of runs of each request, by request id.
+      boot: Boot id, new at each restart.
+      attempts: Attempts, by task and attempt number.
+    """
 
     def __init__(
         self,
@@ -59,14 +72,14 @@
         self.served: collections.Counter[str] = collections.Counter()
         self._objects = objects
         self._random = random.Random(seed)
-        self._measured: collections.deque[tuple[float, Usage]] = (
+        self._measurements: collections.deque[tuple[float, Usage]] = (
             collections.deque(maxlen=4096)
         )
-        self._next_measure = 0.0
+        self._next_measurement = 0.0
         self.restart()
 
     def restart(self) -> None:
-        """Boots anew: a new boot id, and every attempt is gone."""
+        """Restarts with a new boot id and without attempts."""
         for attempt in getattr(self, 'attempts', {}).values():
             if attempt.state is AttemptState.RUNNING:
                 self._end(attempt, AttemptState.LAPSED)
@@ -76,19 +89,23 @@
         self._reports: tuple[AttemptReport, ...] = ()
         self._version = 1
         self._saves = 0
-        self._born = self._monotonic()
+        self._started_at = self._monotonic()
 
     def read_clock(self) -> float:
-        """Returns the worker's monotonic time, which starts at its boot."""
-        return (self._monotonic() - self._born) * self.options.clock_rate
+        """Returns the seconds since boot on the worker's own clock."""
+        return (self._monotonic() - self._started_at) * self.options.clock_rate
 
     def sync(self, request: SyncRequest) -> SyncAnswer:
-        """Carries out the commands and reports the state."""
+        """Carries out the commands and reports the state.
+
+        Commands of an epoch below the highest seen are fenced. Leases are
+        renewed only if the caller has seen the current state.
+        """
         self.tick()
         highest = self._epochs.get(request.scope, 0)
         self._epochs[request.scope] = max(highest, request.epoch)
         outcomes = tuple(
-            self._obey(request, command) for command in request.commands
+            self._execute(request, command) for command in request.commands
         )
         reports = tuple(self._report(a) for a in self.attempts.values())
         self._count_changes(reports)
@@ -126,14 +143,14 @@
                 until = max(attempt.lease_until, request.renew_until)
                 attempt.lease_until = until
 
-    def _obey(self, request: SyncRequest, command: Command) -> Outcome:
+    def _execute(self, request: SyncRequest, command: Command) -> Outcome:
         if request.epoch < self._epochs[request.scope]:
             return Outcome.FENCED
         if request.boot and request.boot != self.boot:
             return Outcome.FENCED
         if command.not_after and self.read_clock() > command.not_after:
             return Outcome.LATE
-        obey = {
+        handlers = {
             Action.START: self._start,
             Action.RENEW: self._renew,
             Action.THROTTLE: self._throttle,
@@ -141,7 +158,7 @@
             Action.STOP: self._stop,
             Action.FORGET: self._forget,
         }
-        return obey[command.action](command)
+        return handlers[command.action](command)
 
     def _start(self, command: Command) -> Outcome:
         key = (command.task, command.attempt)
@@ -161,8 +178,8 @@
         return Outcome.DONE
 
     async def _load(self, attempt: Attempt) -> None:
-        # Begun without its checkpoint, the attempt would do again what was
-        # done; it waits for the object store instead, under its lease.
+        # Without its checkpoint the attempt would repeat finished work, so
+        # it waits for the object store, under its lease.
         while attempt.state is AttemptState.RUNNING:
             try:
                 data = await self._objects.get(attempt.command.resume_from)
@@ -247,8 +264,8 @@
         )
 
     def list_runs(self) -> list[Run]:
-        """Returns every run, those that go on included."""
-        going = [
+        """Returns every run, including those that have not ended."""
+        running = [
             Run(
                 self.options.name,
                 attempt.command.task,
@@ -260,10 +277,10 @@
             for attempt in self.attempts.values()
             if attempt.state is AttemptState.RUNNING
         ]
-        return self.runs + going
+        return self.runs + running
 
     async def run(self) -> None:
-        """Lets time pass for the tasks."""
+        """Updates the tasks periodically, except while paused."""
         last = self._monotonic()
         while True:
             await asyncio.sleep(self.options.tick_seconds)
@@ -273,25 +290,29 @@
                 continue
             self.tick()
             self._progress(now - last)
-            if now >= self._next_measure:
-                self._next_measure = now + 1.0
+            if now >= self._next_measurement:
+                self._next_measurement = now + 1.0
                 self._measure(now)
             last = now
 
     def tick(self) -> None:
-        """Ends the attempts whose lease has lapsed."""
+        """Ends the attempts whose lease has expired."""
         clock = self.read_clock()
         for attempt in self.attempts.values():
             running = attempt.state is AttemptState.RUNNING
             if running and clock > attempt.lease_until:
-                # A worker that was paused past a lease ran nothing since.
-                at = self._born + attempt.lease_until / self.options.clock_rate
+                # A paused worker runs nothing, so the attempt ended with its
+                # lease even if that is noticed later.
+                at = (
+                    self._started_at
+                    + attempt.lease_until / self.options.clock_rate
+                )
                 self._end(attempt, AttemptState.LAPSED, at=at)
 
     def _progress(self, seconds: float) -> None:
         for attempt in list(self.attempts.values()):
-            held_up = attempt.stopping or attempt.loading or attempt.saving
-            if attempt.is_service or held_up or self.faults.hold:
+            is_blocked = attempt.stopping or attempt.loading or attempt.saving
+            if attempt.is_service or is_blocked or self.faults.hold:
                 continue
             if attempt.state is not AttemptState.RUNNING:
                 continue
@@ -311,8 +332,8 @@
         asyncio.ensure_future(self._save_output(attempt))
 
     async def _save_output(self, attempt: Attempt) -> None:
-        # An attempt is finished when its output is whole; before that its
-        # owner would commit the name of an object that may never be there.
+        # The attempt finishes only once its output is stored; otherwise the
+        # owner would commit the name of an object that may never exist.
         name = attempt.command.save_as + '/output'
         while attempt.state is AttemptState.RUNNING:
             try:
@@ -335,7 +356,7 @@
         attempt.checkpoint = name
 
     def get_slowdown(self, attempt: Attempt) -> float:
-        """Returns how much slower the attempt is for what runs beside it."""
+        """Returns the slowdown factor caused by tasks on the same worker."""
         table = self.options.interference.get(attempt.command.job_class, {})
         factor = 1.0
         for other in self.attempts.values():
@@ -363,12 +384,12 @@
                 load=attempt.in_use / slots,
                 progress=attempt.share / self.get_slowdown(attempt),
             )
-            self._measured.append((now, usage))
+            self._measurements.append((now, usage))
 
     def _get_usage(self) -> tuple[Usage, ...]:
         now = self._monotonic()
         newest: dict[str, Usage] = {}
-        for at, usage in self._measured:
+        for at, usage in self._measurements:
             age = now - at
             if age >= self.options.usage_lag:
                 newest[usage.task] = attrs.evolve(usage, age=age)
@@ -387,7 +408,11 @@
         )
 
     def find_service(self, name: str) -> Attempt | None:
-        """Finds the running attempt of a service, named as team/name."""
+        """Returns the running attempt of a service, or None.
+
+        Args:
+          name: The service, as team/name.
+        """
         prefix = f'Service/{name}/'
         for attempt in self.attempts.values():
             running = attempt.state is AttemptState.RUNNING
@@ -396,7 +421,11 @@
         return None
 
     async def serve(self, attempt: Attempt, request: str) -> float:
-        """Runs one request and returns the milliseconds it took."""
+        """Runs one request once a slot is free.
+
+        Returns:
+          The response time in milliseconds, waiting included.
+        """
         began = self._monotonic()
         slots = attempt.work.get('slots', 8)
         while attempt.in_use >= slots:
@@ -410,6 +439,6 @@
             await asyncio.sleep(base * factor)
         finally:
             attempt.in_use -= 1
-        took = (self._monotonic() - began) * 1000
-        attempt.latencies.append(took)
-        return took
+        elapsed_ms = (self._monotonic() - began) * 1000
+        attempt.latencies.append(elapsed_ms)
+        return elapsed_ms
