--- a/tests/test_routing_decision.py
+++ b/tests/test_routing_decision.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import random
+from typing import Any
 
 import attrs
 import hypothesis.strategies as st
@@ -195,3 +196,17 @@
             # Heartbeats come all the time; each makes old reports expire.
             pools.update_peer_loads([LoadReport('entry-9', SERVICE, b'')])
             history.reports.append((clock.now, 'entry-9', {}))
+
+
+def test_decision_with_costs_that_differ_by_rounding() -> None:
+    """Costs that differed by 2e-14 s were compared exactly by the model."""
+    steps: list[Step] = [
+        *[('take', 0, 0)] * 3,
+        *[('end', 0, 0)] * 2,
+        ('report', 0, 3),
+        *[('take', 0, 0)] * 2,
+        ('wait', 0, 1),
+        *[('take', 0, 0)] * 21,
+    ]
+    test: Any = test_decision_is_one_of_the_right_ones
+    test.hypothesis.inner_test(steps)
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -187,6 +187,15 @@
         assert self.copies <= INITIAL_BALANCE + 0.1 * self.requests + 1e-6
 
 
+def test_loads_are_known_after_two_rounds_with_the_far_link_first() -> None:
+    """A zone's total sent without one member's load hid that load."""
+    machine = LoadReportsMachine()
+    machine.load('a0', {0: 1})
+    far, near = ('b0', 'b1'), ('a0', 'a1')
+    cross = [('a0', 'b0'), ('a1', 'b0')]
+    machine.beat([far, far, *cross, *cross, near, near])
+
+
 TestSlots = SlotsMachine.TestCase
 TestSlots.settings = QUICK
 TestLoads = LoadReportsMachine.TestCase
